--- a/internal/testkit/scenario/defaults.go
+++ b/internal/testkit/scenario/defaults.go
@@ -8,7 +8,7 @@
 
 const millisecond = Duration(time.Millisecond)
 
-// SetDefaults gives each value that is not set its default.
+// SetDefaults sets each value that is unset to its default.
 func (f *File) SetDefaults() {
 	setDefault(&f.Seed, 1)
 	setDefault(&f.Relays, 1)
--- a/internal/testkit/scenario/fault.go
+++ b/internal/testkit/scenario/fault.go
@@ -1,67 +1,69 @@
 package scenario
 
-// Fault is something that goes wrong. docs/rehearsal.md lists the keys that each kind takes.
+// Fault is a failure that a scenario injects. docs/rehearsal.md lists the keys that each kind takes.
 type Fault struct {
 	Kind     FaultKind `toml:"kind"`
 	Start    Duration  `toml:"at"`
 	Duration Duration  `toml:"for"`
 
-	Destinations []int   `toml:"destinations"` // those that are struck; default: as many as Share says
-	Share        float64 `toml:"share"`        // of the destinations, of the endpoints (drain, gone), or of the relays
-	Zone         string  `toml:"zone"`         // strikes only what is in the zone
+	Destinations []int `toml:"destinations"` // numbers, counted from 1; default: all
+	// Share is the affected ratio of the services, of the endpoints (drain, gone) or of the relays; default: all.
+	Share float64 `toml:"share"`
+	Zone  string  `toml:"zone"` // affects only endpoints or relays in the zone
 
-	CallRatio float64 `toml:"calls"` // fail, lost-answers: the ratio of calls that is struck; default 1
-	// Factor is how many times longer calls take (slow), or how many times lower the limit is (lowered); default 10.
+	CallRatio float64 `toml:"calls"` // fail, lost-answers: ratio of affected calls; default 1
+	// Factor multiplies the service time of calls (slow) or divides the rate limit (lowered); default 10.
 	Factor           float64  `toml:"factor"`
-	DrainTime        Duration `toml:"drain"`        // drain: from draining to removed; default 4s
-	BatchSize        int      `toml:"batch"`        // drain: endpoints at a time, evenly over Duration; default 1
-	ReplaceEndpoints bool     `toml:"replace"`      // drain, gone: each by a new endpoint
-	SameAddressRatio float64  `toml:"same_address"` // the ratio of the new ones that get the address of a removed one
-	Delay            Duration `toml:"delay"`        // discovery-late, link-delay
+	DrainTime        Duration `toml:"drain"`        // drain: time from draining to removal; default 4s
+	BatchSize        int      `toml:"batch"`        // endpoints that leave together, evenly over Duration; default 1
+	ReplaceEndpoints bool     `toml:"replace"`      // drain, gone: replace each by a new endpoint
+	SameAddressRatio float64  `toml:"same_address"` // ratio of new endpoints that reuse the old one's address
+	Delay            Duration `toml:"delay"`        // discovery-late, link-delay: added delay
 
-	Relays      []int    `toml:"relays"`  // those that are struck, counted from 1; default: as Share says, or all
-	ClockOffset Duration `toml:"by"`      // clock-step: how far the wall clocks are stepped; below 0: back
-	Stagger     Duration `toml:"stagger"` // from one relay to the next; default 0
-	// RelayGroup has the seed choose relays, instead of Relays and Share.
+	Relays      []int    `toml:"relays"`  // numbers, counted from 1; default: as Share or RelayGroup selects, or all
+	ClockOffset Duration `toml:"by"`      // clock-step: added to the wall clocks; below 0: they are set back
+	Stagger     Duration `toml:"stagger"` // time from the fault of one relay to that of the next; default 0
+	// RelayGroup selects how many relays are affected. It excludes Relays and Share.
 	RelayGroup RelayGroup `toml:"group"`
 
-	Direction      Direction   `toml:"way"`    // link-*: of the relays that are struck; default both
-	LossRatio      float64     `toml:"loss"`   // link-loss: of datagrams; default 0.3
-	ReorderRatio   float64     `toml:"mixed"`  // link-mix: of datagrams duplicated, and as many reordered; default 0.3
+	Direction Direction `toml:"way"`  // link-*: affected links of the affected relays; default both
+	LossRatio float64   `toml:"loss"` // link-loss: ratio of datagrams that are lost; default 0.3
+	// ReorderRatio is the ratio of datagrams that link-mix duplicates, and the ratio that it reorders; default 0.3.
+	ReorderRatio   float64     `toml:"mixed"`
 	BytesPerSecond int         `toml:"rate"`   // link-throttle; default 2000
-	StateFolder    StateFolder `toml:"folder"` // kill: what the relay finds when it starts again; default kept
+	StateFolder    StateFolder `toml:"folder"` // kill: state folder at the restart; default kept
 }
 
-// FaultKind is a kind of fault. The values are those of scenario files.
+// FaultKind is a kind of fault. The values appear in scenario files.
 type FaultKind string
 
 // The kinds of fault.
 const (
 	FaultDrain          FaultKind = "drain"          // endpoints drain and are removed
-	FaultRemove         FaultKind = "gone"           // endpoints are removed at once, and their processes end
-	FaultFailCalls      FaultKind = "fail"           // a ratio of the calls fails quickly
+	FaultRemove         FaultKind = "gone"           // endpoints are removed without draining, and their processes end
+	FaultFailCalls      FaultKind = "fail"           // a ratio of the calls fails immediately
 	FaultSuspend        FaultKind = "shut"           // all calls are rejected
 	FaultSlow           FaultKind = "slow"           // calls take longer
-	FaultLoseAnswers    FaultKind = "lost-answers"   // calls are served, and their connections break before the answer
-	FaultLowerLimit     FaultKind = "lowered"        // the rate limit falls, and the endpoint list does not say so
+	FaultLoseAnswers    FaultKind = "lost-answers"   // calls are served, but their connections break before the answer
+	FaultLowerLimit     FaultKind = "lowered"        // the rate limit is lowered, the endpoint list unchanged
 	FaultSilence        FaultKind = "silent"         // calls are accepted and never answered
 	FaultCrash          FaultKind = "death"          // processes die: connections are reset and refused
-	FaultCutOff         FaultKind = "cut"            // machines are cut off: connections stay open and silent
+	FaultCutOff         FaultKind = "cut"            // machines lose their network: connections stay open but idle
 	FaultDiscoveryDown  FaultKind = "discovery-down" // discovery sends nothing
-	FaultDiscoveryDelay FaultKind = "discovery-late" // discovery sends everything later
-	FaultTerminate      FaultKind = "term"           // relays are restarted in order
+	FaultDiscoveryDelay FaultKind = "discovery-late" // discovery sends each change later
+	FaultTerminate      FaultKind = "term"           // relays are restarted gracefully
 	FaultKill           FaultKind = "kill"           // relays are killed and started again
 	FaultReload         FaultKind = "hup"            // relays reload their configuration
-	FaultClockStep      FaultKind = "clock-step"     // the wall clocks of relays are stepped; in virtual time only
-	FaultStall          FaultKind = "stall"          // processes of relays are stopped, and resumed
-	FaultLinkCut        FaultKind = "link-cut"       // nothing passes between relays
+	FaultClockStep      FaultKind = "clock-step"     // the wall clocks of relays are stepped; only in virtual time
+	FaultStall          FaultKind = "stall"          // the processes of relays are stopped and later resumed
+	FaultLinkCut        FaultKind = "link-cut"       // no traffic passes between relays
 	FaultLinkLoss       FaultKind = "link-loss"      // datagrams are lost
-	FaultLinkDelay      FaultKind = "link-delay"     // everything is delayed
+	FaultLinkDelay      FaultKind = "link-delay"     // all traffic is delayed
 	FaultLinkThrottle   FaultKind = "link-throttle"  // the bandwidth is low
 	FaultLinkReorder    FaultKind = "link-mix"       // datagrams are duplicated and reordered
 )
 
-// faultKinds lists the kinds in the order in which an error lists them.
+// faultKinds lists all kinds, in the order in which error messages list them.
 var faultKinds = []FaultKind{
 	FaultDrain,
 	FaultRemove,
@@ -87,7 +89,7 @@
 	FaultLinkReorder,
 }
 
-// RelayGroup is how many of the relays a fault strikes, which the seed draws.
+// RelayGroup selects how many relays a fault affects. The seed determines which ones.
 type RelayGroup string
 
 // The groups of relays.
@@ -98,22 +100,22 @@
 	GroupAllButOne RelayGroup = "all-but-one"
 )
 
-// Direction is which links of a relay a fault strikes.
+// Direction selects the links of a relay that a fault affects.
 type Direction string
 
 // The directions of links.
 const (
 	DirectionBoth Direction = "both"
-	DirectionOut  Direction = "out" // the others do not hear the relay
-	DirectionIn   Direction = "in"  // the relay does not hear the others
+	DirectionOut  Direction = "out" // links from the relay to the others
+	DirectionIn   Direction = "in"  // links from the others to the relay
 )
 
-// StateFolder is what a relay that was killed finds as its state folder.
+// StateFolder selects the state folder with which a killed relay starts again.
 type StateFolder string
 
 // The state folders after a kill.
 const (
 	StateFolderKept    StateFolder = "kept"
 	StateFolderRemoved StateFolder = "none"
-	StateFolderOlder   StateFolder = "older" // as it was when the relay had first started
+	StateFolderOlder   StateFolder = "older" // the copy from the relay's first start
 )
--- a/internal/testkit/scenario/golden_test.go
+++ b/internal/testkit/scenario/golden_test.go
@@ -9,13 +9,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// notSet is a line of an encoded scenario whose key has no value.
+// notSet matches a line of an encoded scenario whose key has the zero value.
 var notSet = regexp.MustCompile(`(?m)^(\w+) = (0|0\.0|''|'0s'|false|\[\])$`)
 
-// TestGoldenEveryKey reads a scenario that sets every key, and pins what it is written as again, by the keys of the
-// file, and its plan.
+// TestGoldenEveryKey reads a scenario that sets every key, and compares the encoded scenario and its plan with golden
+// files. It guards against a key that is dropped or renamed when it is decoded or encoded.
 func TestGoldenEveryKey(t *testing.T) {
 	f, err := LoadWithin(filepath.Join("testdata", "golden", "every-key.toml"), EmulatorBounds)
 	if err != nil {
@@ -32,12 +32,13 @@
 	}
 	golden.Compare(t, *update, "every-key.plan.txt", text(t, again.Draw(0)))
 
-	// Between them, the two faults set each key of a fault; every other key is set in the one table that there is.
+	// Each key of a fault is set by one or both of the two faults. Every other key is in a table that occurs once, and
+	// must be set there.
 	unset := map[string]int{}
 	for _, m := range notSet.FindAllStringSubmatch(string(data), -1) {
 		unset[m[1]]++
 	}
-	delete(unset, "may_duplicate") // false is not its default
+	delete(unset, "may_duplicate") // false is set: the default is true
 	for key, n := range unset {
 		if !keysOfOneFault[key] || n > 1 {
 			t.Errorf("the scenario does not set %s", key)
@@ -45,7 +46,7 @@
 	}
 }
 
-// keysOfOneFault are the keys of a fault that only one of the two sets.
+// keysOfOneFault are the fault keys that only one of the two faults sets.
 var keysOfOneFault = map[string]bool{
 	"destinations": true,
 	"share":        true,
@@ -63,7 +64,8 @@
 	"folder":       true,
 }
 
-// TestGoldenDefaults pins what a scenario has that sets only what it must.
+// TestGoldenDefaults compares the encoded base scenario, which has few optional keys, with a golden file of the
+// defaults.
 func TestGoldenDefaults(t *testing.T) {
 	data, err := parse(t, "").Encode()
 	if err != nil {
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -13,18 +13,18 @@
 
 const digestLength = 8 // bytes
 
-// Plan is all that happens in a rehearsal.
+// Plan holds the services, endpoints, messages and steps of a run, as drawn from a scenario and a seed.
 type Plan struct {
 	File          File
 	Seed          uint64
 	Services      []Service
 	Endpoints     []Endpoint
-	Arrivals      []Arrival // by time
-	Steps         []Step    // by time
-	DiscoverySeed uint64    // of the delays of discovery
+	Arrivals      []Arrival // sorted by time
+	Steps         []Step    // sorted by time
+	DiscoverySeed uint64    // seeds the random delays of discovery
 }
 
-// Service is a destination, or an endpoint with limits of its own.
+// Service is a destination with all its endpoints, or one endpoint if the kind has SeparateEndpoints.
 type Service struct {
 	Name        string
 	Destination int
@@ -32,16 +32,16 @@
 	Seed        uint64
 }
 
-// Endpoint is an endpoint that is listed at some time of the rehearsal.
+// Endpoint is an endpoint that is in the endpoint list at some time of the run.
 type Endpoint struct {
 	ID              string
 	Service         string
 	Destination     int
 	Zone            string
 	Kind            string
-	Weight          float64 // in the endpoint list: calls a second that its service can serve
-	ReusesAddressOf string  // the removed endpoint whose address it gets; "": it has an address of its own
-	AddedLater      bool    // it is not there from the start
+	Weight          float64 // in the endpoint list: the calls a second that its service can serve
+	ReusesAddressOf string  // id of the removed endpoint whose address it reuses; "": a new address
+	AddedLater      bool    // added by a step, not present at the start
 }
 
 // String returns the text form of an endpoint; see Plan.WriteTo.
@@ -53,15 +53,15 @@
 // Arrival is a message that a client submits.
 type Arrival struct {
 	At             time.Duration
-	ID             string // of the first submission
+	ID             string // message id of the first submission
 	Relay          int    // counted from 0
-	Class          int    // index of File.Classes
-	Customer       int    // index of File.Customers
+	Class          int    // index in File.Classes
+	Customer       int    // index in File.Customers
 	Destination    int    // counted from 1
 	IdempotencyKey string
 	OrderingKey    string
 	BodySize       int           // bytes
-	RetryDelay     time.Duration // the least time before the retry of a rejected message; 0: it is not retried
+	RetryDelay     time.Duration // minimum time before a retry after a rejection; 0: no retry
 }
 
 // String returns the text form of an arrival; see Plan.WriteTo.
@@ -71,13 +71,13 @@
 		a.Destination, a.IdempotencyKey, a.OrderingKey, a.BodySize, a.RetryDelay)
 }
 
-// WriteTo writes the text form of a plan. Digests are computed from it, and digests are part of stored records: its
-// keys and their order are fixed, whatever the fields are called.
+// WriteTo writes the text form of a plan. Digest hashes this text, and stored records hold the digest. The keys in the
+// text and their order must therefore not change, even if a field is renamed.
 func (p Plan) WriteTo(w io.Writer) (int64, error) {
 	buffer := bufio.NewWriter(w)
 	written := 0
 	printLine := func(format string, args ...any) {
-		n, _ := fmt.Fprintf(buffer, format+"\n", args...) // the buffer keeps the error until Flush
+		n, _ := fmt.Fprintf(buffer, format+"\n", args...) // the buffer keeps an error, and Flush returns it
 		written += n
 	}
 	printLine("scenario %s seed %d delays %d", p.File.Name, p.Seed, p.DiscoverySeed)
--- a/internal/testkit/scenario/planner.go
+++ b/internal/testkit/scenario/planner.go
@@ -12,7 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
-// The names of the random streams of a plan. Each part has its own, so that a change of one leaves the others.
+// The names of the random streams of a plan. Each part of the plan draws from a stream of its own, so that a change of
+// one part leaves the other parts as they are.
 const (
 	streamDelays  = "delays"
 	streamIDs     = "ids"
@@ -22,28 +23,28 @@
 	streamTraffic = "traffic"
 )
 
-// minIDLength is the least length of an endpoint's id, in bytes of a hash.
+// minIDLength is the number of hash bytes in the id of an endpoint, unless that id is taken.
 const minIDLength = 4
 
-// planner draws a plan.
+// planner draws the parts of a plan and adds them to it.
 type planner struct {
 	Plan
 
 	endpointCount int
 	endpointIDs   map[string]bool
-	removed       map[string]bool          // the endpoints that a fault removes
-	specs         map[string]upstream.Spec // by service; nil until the first endpoint is replaced
+	removed       map[string]bool          // ids of the endpoints that a fault removes
+	specs         map[string]upstream.Spec // by service; nil until the first call of specOf
 }
 
-// Draw returns the plan of a scenario with a seed; 0 is the scenario's own.
+// Draw returns the plan of the scenario for a seed. Seed 0 selects the seed of the scenario.
 func (f File) Draw(seed uint64) Plan {
 	p := newPlanner(f, seed)
 	p.addArrivals()
 	return p.Plan
 }
 
-// DrawWithoutArrivals returns the plan without its arrivals: these are drawn by TrafficGenerators while the plan runs,
-// so that a large one needs no memory for them.
+// DrawWithoutArrivals returns the plan without its arrivals. The caller draws them with TrafficGenerators while the
+// plan runs, so that the arrivals of a large plan are never all in memory.
 func (f File) DrawWithoutArrivals(seed uint64) Plan { return newPlanner(f, seed).Plan }
 
 // newPlanner returns a planner that has drawn everything but the arrivals.
@@ -79,7 +80,7 @@
 	}
 }
 
-// addServices adds the services and endpoints that are there from the start.
+// addServices adds the services and endpoints that exist from the start.
 func (p *planner) addServices() {
 	seeds := engine.NewRandom(p.Seed, streamService, 0)
 	number := 0
@@ -92,7 +93,7 @@
 }
 
 func (p *planner) addDestination(d Destination, number int, nextSeed func() uint64) {
-	kind, _ := p.File.kindOf(d) // a valid scenario has it
+	kind, _ := p.File.kindOf(d) // a valid scenario defines the kind
 	spec := p.File.UpstreamSpec(kind, d.LimitRate)
 	name := fmt.Sprintf("d%d", number)
 	if !kind.SeparateEndpoints {
@@ -143,12 +144,13 @@
 	return p.specs[service]
 }
 
-// addEndpoint gives an endpoint its id, from which nothing can be concluded, and adds it. The pointer is valid until
-// the next one is added.
+// addEndpoint adds an endpoint with a new id, a hash that reveals nothing about the endpoint. The returned pointer is
+// valid until the next endpoint is added.
 func (p *planner) addEndpoint(e Endpoint) *Endpoint {
 	p.endpointCount++
 	hash := sha256.Sum256(fmt.Appendf(nil, "%d/endpoint/%d", p.Seed, p.endpointCount))
-	// Ids that are taken get more bytes: among 280,000 endpoints some ten pairs have the same first four.
+	// An id that is taken is extended by more bytes of the hash: among 280,000 endpoints, about ten pairs have the same
+	// first four bytes.
 	for length := minIDLength; e.ID == "" || p.endpointIDs[e.ID]; length++ {
 		e.ID = "s-" + hex.EncodeToString(hash[:length])
 	}
@@ -159,7 +161,7 @@
 
 func (p *planner) addStep(s Step) { p.Steps = append(p.Steps, s) }
 
-// addStepPair adds a step at the begin of a span, and one at its end.
+// addStepPair adds one step at the beginning of a time span and one at its end.
 func (p *planner) addStepPair(begin, end time.Duration, first, last Step) {
 	first.At, last.At = begin, end
 	p.addStep(first)
--- a/internal/testkit/scenario/planner_endpoints.go
+++ b/internal/testkit/scenario/planner_endpoints.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// drainedProcessTime is how long the process of a drained endpoint goes on after it is removed from the list, so
-	// that calls which it received can end.
+	// drainedProcessTime is how long the process of a drained endpoint runs on after the endpoint is removed from the
+	// endpoint list, so that the calls that it has received can complete.
 	drainedProcessTime = 2 * time.Second
-	// newEndpointLead is how long before the old endpoint leaves a new one is listed.
+	// newEndpointLead is how long a new endpoint is listed before the old one drains or is removed.
 	newEndpointLead = time.Second
-	// addressReuseDelay is the time from the end of a process until a new one listens at its address.
+	// addressReuseDelay is the time from the end of a process until a new process listens at its address.
 	addressReuseDelay = 100 * time.Millisecond
 )
 
-// addEndpointFault adds the steps of a fault that drains or removes endpoints, batch by batch over its duration, and
-// that replaces each by a new one if asked for. It returns the ids of the endpoints.
+// addEndpointFault adds the steps of a fault that drains or removes endpoints. The batches of endpoints are spread
+// evenly over the duration of the fault. With ReplaceEndpoints each endpoint is replaced by a new one.
+// addEndpointFault returns the ids of the endpoints that leave.
 func (p *planner) addEndpointFault(random *rand.Rand, fault Fault) (ids []string) {
-	struck := p.chooseEndpoints(random, fault)
-	batches := (len(struck) + fault.BatchSize - 1) / fault.BatchSize
-	for i, index := range struck {
+	leaving := p.chooseEndpoints(random, fault)
+	batches := (len(leaving) + fault.BatchSize - 1) / fault.BatchSize
+	for i, index := range leaving {
 		old := p.Endpoints[index]
 		p.removed[old.ID] = true
 		ids = append(ids, old.ID)
@@ -34,7 +35,7 @@
 	return ids
 }
 
-// chooseEndpoints returns the indexes of the endpoints that a fault strikes, in the order in which they leave.
+// chooseEndpoints returns the indexes of the endpoints that a fault affects, in the order in which they leave.
 func (p *planner) chooseEndpoints(random *rand.Rand, fault Fault) []int {
 	destinations := setOf(fault.Destinations)
 	var indexes []int
@@ -52,7 +53,7 @@
 	return indexes
 }
 
-// addRemoval adds the steps by which an endpoint leaves, and returns when its process ends.
+// addRemoval adds the steps by which an endpoint leaves, and returns the time at which its process ends.
 func (p *planner) addRemoval(fault Fault, id string, leavesAt time.Duration) (stopsAt time.Duration) {
 	removedAt, stopsAt := leavesAt, leavesAt
 	if fault.Kind == FaultDrain {
@@ -65,8 +66,8 @@
 	return stopsAt
 }
 
-// addReplacement adds the endpoint that replaces an old one: before the old one leaves, or at its address after its
-// process has ended.
+// addReplacement adds a new endpoint that replaces an old one. The new endpoint has an address of its own and is listed
+// before the old one leaves, or it reuses the old one's address and is listed after the old process has ended.
 func (p *planner) addReplacement(random *rand.Rand, fault Fault, old Endpoint, leavesAt, stopsAt time.Duration) {
 	replacement := old
 	replacement.ID, replacement.AddedLater, replacement.ReusesAddressOf = "", true, ""
--- a/internal/testkit/scenario/planner_faults.go
+++ b/internal/testkit/scenario/planner_faults.go
@@ -11,13 +11,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 )
 
-// minFaultLength is the least time from the begin of a fault to its end, so that a report shows those without a length.
+// minFaultLength is the minimum time between the steps that mark the beginning and the end of a fault, so that reports
+// also show faults without a duration.
 const minFaultLength = time.Second
 
-// end returns when a fault ends.
+// end returns the time at which a fault ends.
 func (fault *Fault) end() time.Duration { return (fault.Start + fault.Duration).AsDuration() }
 
-// addFault adds the steps of a fault, and marks its begin and end.
+// addFault adds the steps of a fault, and the steps that mark its beginning and its end.
 func (p *planner) addFault(index int, fault Fault) {
 	random := engine.NewRandom(p.Seed, streamFault, index)
 	name := fmt.Sprintf("%s-%d", fault.Kind, index+1)
@@ -45,7 +46,7 @@
 	p.addStep(Step{At: max(end, begin+minFaultLength), Op: OpFaultEnds, Target: name})
 }
 
-// addServiceFault adds the begin and the end of a fault of one service.
+// addServiceFault adds the steps that begin and end a fault of one service.
 func (p *planner) addServiceFault(fault Fault, service string) {
 	first := Step{Target: service}
 	last := Step{Target: service, Op: OpRestore}
@@ -73,7 +74,7 @@
 	p.addStepPair(fault.Start.AsDuration(), fault.end(), first, last)
 }
 
-// chooseServices returns the names of the services that a fault strikes.
+// chooseServices returns the names of the services that a fault affects.
 func (p *planner) chooseServices(random *rand.Rand, fault Fault) []string {
 	inZone := map[string]bool{}
 	for _, e := range p.Endpoints {
@@ -95,7 +96,7 @@
 	return names
 }
 
-// addRelayFault adds the steps of a fault of relays, and returns the names of these.
+// addRelayFault adds the steps of a fault of relays, and returns the names of the affected relays.
 func (p *planner) addRelayFault(random *rand.Rand, fault Fault) (names []string) {
 	for i, number := range p.chooseRelays(random, fault) {
 		name := RelayName(number)
@@ -136,14 +137,14 @@
 	p.addStepPair(begin, end, step, last)
 }
 
-// chooseRelays returns the numbers of the relays that a fault strikes, counted from 1.
+// chooseRelays returns the numbers, counted from 1, of the relays that a fault affects.
 func (p *planner) chooseRelays(random *rand.Rand, fault Fault) []int {
 	if len(fault.Relays) > 0 {
 		return fault.Relays
 	}
 	var numbers []int
 	for i := range p.File.Relays {
-		zone := p.File.Zones[i%len(p.File.Zones)] // relays stand in the zones in turn
+		zone := p.File.Zones[i%len(p.File.Zones)] // relays are assigned to the zones in turn
 		if fault.Zone == "" || zone == fault.Zone {
 			numbers = append(numbers, i+1)
 		}
@@ -156,7 +157,7 @@
 	return numbers
 }
 
-// relayCount returns how many of a number of relays a fault strikes.
+// relayCount returns how many of the given number of relays a fault affects.
 func (fault *Fault) relayCount(relays int) int {
 	if fault.Share > 0 {
 		return shareOf(fault.Share, relays)
@@ -175,17 +176,17 @@
 	}
 }
 
-// addLinkFault adds the steps of a fault of the links between the relays that are struck and all others, or of all
-// links if all relays are struck. It returns the names of the relays.
+// addLinkFault adds the steps of a fault of the links between the affected relays and all others, or of all links if
+// all relays are affected. It returns the names of the affected relays.
 func (p *planner) addLinkFault(random *rand.Rand, fault Fault) (names []string) {
-	struck := p.chooseRelays(random, fault)
-	for _, number := range struck {
+	affected := p.chooseRelays(random, fault)
+	for _, number := range affected {
 		name := RelayName(number)
 		names = append(names, name)
 		for i := range p.File.Relays {
 			other := i + 1
-			bothStruck := len(struck) < p.File.Relays && slices.Contains(struck, other)
-			if other == number || bothStruck {
+			bothAffected := len(affected) < p.File.Relays && slices.Contains(affected, other)
+			if other == number || bothAffected {
 				continue
 			}
 			if fault.Direction != DirectionIn {
@@ -216,7 +217,7 @@
 	p.addStepPair(fault.Start.AsDuration(), fault.end(), first, Step{Op: OpLinkRestore, Target: link})
 }
 
-// shareOf returns how many of a number a share is, rounded up.
+// shareOf returns a share (0 to 1) of a count, rounded up.
 func shareOf(share float64, count int) int { return int(math.Ceil(share * float64(count))) }
 
 func shuffle[T any](random *rand.Rand, items []T) {
--- a/internal/testkit/scenario/planner_test.go
+++ b/internal/testkit/scenario/planner_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The digest is written down here, so that no change of Go or of this package changes a plan unnoticed.
+// Compares the digest of a plan with a fixed value, so that a change of Go or of this package cannot change plans
+// unnoticed.
 func TestPlanIsTheSameByteForByte(t *testing.T) {
 	f := parse(t, `
 [[trouble]]
@@ -20,17 +21,17 @@
 `)
 	const want = "a1af972bb8b711ad"
 	if got := f.Draw(7).Digest(); got != want {
-		t.Errorf("digest %s, was %s", got, want)
+		t.Errorf("digest %s, want %s", got, want)
 	}
 	if f.Draw(7).Digest() == f.Draw(8).Digest() {
-		t.Error("another seed, the same plan")
+		t.Error("seeds 7 and 8 give the same plan")
 	}
 	if f.Draw(0).Seed != 1 || f.Draw(0).Digest() != f.Draw(1).Digest() {
-		t.Error("seed 0 is not the scenario's own")
+		t.Error("seed 0 does not select the seed of the scenario")
 	}
 }
 
-// A fault that is added leaves the load as it was.
+// Adding a fault to a scenario must not change its arrivals, which have a random stream of their own.
 func TestPartsHaveTheirOwnRandomStreams(t *testing.T) {
 	plain := parse(t, "").Draw(3)
 	withFault := parse(t, `
@@ -39,15 +40,15 @@
 at = "5s"
 `).Draw(3)
 	if !slices.Equal(plain.Arrivals, withFault.Arrivals) {
-		t.Error("the load has changed")
+		t.Error("a fault changed the arrivals")
 	}
-	if len(withFault.Steps) != 4 { // begins, two relays, ends
+	if len(withFault.Steps) != 4 { // OpFaultBegins, OpKill of two relays, OpFaultEnds
 		t.Errorf("steps: %+v", withFault.Steps)
 	}
 }
 
-// 58 % of the endpoints are replaced, some at the addresses of old ones, and each of these only once the old one has
-// stopped.
+// A fault replaces 58 % of the endpoints, some of them at the address of the old endpoint. These must be added only
+// after the process of the old endpoint has stopped.
 func TestReplacedEndpoints(t *testing.T) {
 	plan := parse(t, `
 [[trouble]]
@@ -79,12 +80,13 @@
 			sameAddress++
 			added, stopped := at[change{OpAddEndpoint, e.ID}], at[change{OpStopEndpoint, old}]
 			if added <= stopped {
-				t.Errorf("%s starts at %v where %s stops at %v", e.ID, added, old, stopped)
+				t.Errorf("%s is added at %v, but %s stops only at %v, and both have the same address",
+					e.ID, added, old, stopped)
 			}
 		}
 		isOfEndpoint := func(s Service) bool { return s.Name == e.Service && s.Destination == e.Destination }
 		if !slices.ContainsFunc(plan.Services, isOfEndpoint) {
-			t.Errorf("%s is of no service %s", e.ID, e.Service)
+			t.Errorf("endpoint %s: its service %s is not in the plan", e.ID, e.Service)
 		}
 	}
 	if later != int(math.Ceil(0.58*float64(first))) || sameAddress == 0 || sameAddress == later {
@@ -107,7 +109,8 @@
 			silenced = append(silenced, s.Target)
 		}
 	}
-	// Destination 1 is one service with an endpoint in zone b; of destination 4's separate endpoints one is there.
+	// Destination 1 is one service with an endpoint in zone b. Destination 4 has separate endpoints, one of them in
+	// zone b.
 	var want []string
 	for _, e := range plan.Endpoints {
 		if e.Zone == "b" && (e.Destination == 1 || e.Destination == 4) {
@@ -117,11 +120,11 @@
 	slices.Sort(silenced)
 	slices.Sort(want)
 	if len(silenced) != 2 || !slices.Equal(silenced, want) {
-		t.Errorf("%v, want %v", silenced, want)
+		t.Errorf("silenced services: %v, want %v", silenced, want)
 	}
 }
 
-// A limit is lowered and restored; a share of the relays is killed.
+// A rate limit is lowered and restored. Of ten relays, a share of 0.7 is killed.
 func TestLoweredLimitsAndSharesOfRelays(t *testing.T) {
 	f := parse(t, `
 [[trouble]]
@@ -178,6 +181,6 @@
 		ids[e.ID] = true
 	}
 	if len(ids) != 280_000 {
-		t.Errorf("%d ids of 280000 endpoints", len(ids))
+		t.Errorf("%d different ids for 280000 endpoints", len(ids))
 	}
 }
--- a/internal/testkit/scenario/record.go
+++ b/internal/testkit/scenario/record.go
@@ -2,7 +2,7 @@
 
 import "cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 
-// RecordHeader returns the header of the record of a run of the scenario with a seed.
+// RecordHeader returns the header of the event record of a run of the scenario with a seed.
 func (f *File) RecordHeader(seed uint64) eventlog.Header {
 	s := f.Settings
 	header := eventlog.Header{
--- a/internal/testkit/scenario/scenario_test.go
+++ b/internal/testkit/scenario/scenario_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// base is a small complete scenario.
+// base is a small scenario that is valid as it is, and to which tests append lines.
 const base = `
 name = "base"
 length = "20s"
@@ -56,7 +56,7 @@
 	var b bytes.Buffer
 	n, err := p.WriteTo(&b)
 	if err != nil || n != int64(b.Len()) {
-		t.Fatalf("%d of %d bytes, %v", n, b.Len(), err)
+		t.Fatalf("WriteTo returned %d of %d bytes, %v", n, b.Len(), err)
 	}
 	return b.String()
 }
--- a/internal/testkit/scenario/traffic.go
+++ b/internal/testkit/scenario/traffic.go
@@ -12,25 +12,25 @@
 
 const (
 	orderingKeysPerDestination = 4
-	burstInterval              = time.Millisecond // between the messages of a burst
-	// ShapeDinner begins and ends at this ratio of the peak rate.
+	burstInterval              = time.Millisecond // time between the messages of a burst
+	// dinnerMinRatio is the rate of ShapeDinner at its start and end, relative to its peak.
 	dinnerMinRatio = 0.25
-	// A retry comes after RetryBackoff times a factor that is drawn from this, up to 1 above it.
+	// A retry is sent after RetryBackoff times a factor that is drawn between minRetryFactor and minRetryFactor + 1.
 	minRetryFactor = 0.5
 )
 
-// TrafficGenerator draws the messages of one Traffic of a scenario, in the order of time.
+// TrafficGenerator draws the messages of one Traffic entry of a scenario, burst by burst in the order of time.
 type TrafficGenerator struct {
 	file        File
 	traffic     Traffic
 	random      *rand.Rand
 	at          time.Duration
-	totalWeight float64 // of the destinations
-	// relayShares is the share of the traffic that each relay and those before it get; nil: all get the same.
+	totalWeight float64 // sum of the TrafficWeights of all destinations
+	// relayShares holds the cumulative shares of the relays in the traffic, up to 1; nil: equal shares.
 	relayShares []float64
 }
 
-// NewTrafficGenerator returns the generator of the n-th Traffic, counted from 0, with the seed of a plan.
+// NewTrafficGenerator returns the generator of the n-th Traffic entry, counted from 0, for the seed of a plan.
 func (f File) NewTrafficGenerator(seed uint64, n int) *TrafficGenerator {
 	g := &TrafficGenerator{
 		file:        f,
@@ -45,8 +45,8 @@
 	return g
 }
 
-// drawRelayShares draws the share of the traffic that each relay and those before it get; nil: all get the same. A
-// relay's share is lognormal. All traffic of a plan has the same shares.
+// drawRelayShares draws the cumulative shares of the relays in the traffic, up to 1; nil: equal shares. The share of a
+// relay is lognormal. All Traffic entries of a plan have the same shares.
 func (f File) drawRelayShares(seed uint64) []float64 {
 	variation := f.Clients.RelayVariation
 	if variation == 0 {
@@ -66,8 +66,8 @@
 	return shares
 }
 
-// Next returns the messages that come next: one, or those of a burst. Their ids and idempotency keys are not drawn. It
-// returns false at the end.
+// Next returns the next message, or all messages of the next burst, without ids and idempotency keys. It returns false
+// at the end of the traffic.
 func (g *TrafficGenerator) Next() (group []Arrival, ok bool) {
 	size := 1
 	if g.traffic.Shape == ShapeBursts {
@@ -93,7 +93,7 @@
 	return group, true
 }
 
-// rateRatio returns the ratio of its rate that traffic has at a time.
+// rateRatio returns the rate of the traffic at a time, relative to Rate.
 func (t *Traffic) rateRatio(at time.Duration) float64 {
 	if t.Shape != ShapeDinner {
 		return 1
@@ -118,7 +118,7 @@
 	return arrival
 }
 
-// drawRelay draws the relay that gets a message, counted from 0.
+// drawRelay draws the relay to which a message is submitted, counted from 0.
 func (g *TrafficGenerator) drawRelay() int {
 	if g.relayShares == nil {
 		return g.random.IntN(g.file.Relays)
@@ -133,7 +133,7 @@
 		return g.traffic.Destinations[g.random.IntN(len(g.traffic.Destinations))]
 	}
 	position := g.random.Float64() * g.totalWeight
-	first := 0 // the number of destinations before those of d
+	first := 0 // number of the last destination before those of d
 	for _, d := range g.file.Destinations {
 		weight := d.TrafficWeight * float64(d.Count)
 		if position < weight {
@@ -145,7 +145,7 @@
 	return first
 }
 
-// drawByShare returns the index of the item with a name, or draws one by the shares if the name is empty.
+// drawByShare returns the index of the item with the given name. If the name is empty, it draws an item by the shares.
 func drawByShare[T any](random *rand.Rand, items []T, name string, nameAndShare func(T) (string, float64)) int {
 	total := 0.0
 	for i, item := range items {
--- a/internal/testkit/scenario/traffic_test.go
+++ b/internal/testkit/scenario/traffic_test.go
@@ -21,7 +21,8 @@
 `
 )
 
-// countArrivals returns how many messages with 1000 bytes, which the base scenario has none of, arrive in a span.
+// countArrivals returns the number of arrivals with 1000 bytes from one time to another. The traffic of the base
+// scenario has smaller messages, so that only the added traffic counts.
 func countArrivals(t *testing.T, more string, from, to time.Duration) int {
 	t.Helper()
 	count := 0
@@ -46,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := countArrivals(t, c.more, c.from, c.to)
 			if math.Abs(float64(got-c.want)) > 5*math.Sqrt(float64(c.want)) {
-				t.Errorf("%d, want about %d", got, c.want)
+				t.Errorf("%d arrivals, want about %d", got, c.want)
 			}
 		})
 	}
@@ -55,14 +56,15 @@
 func TestBurstsStayInTheirSpan(t *testing.T) {
 	const from, to, end = 5 * time.Second, 15 * time.Second, 20 * time.Second
 	if n := countArrivals(t, burstTraffic, from, to); n < 500 || n > 1700 {
-		t.Errorf("bursts: %d", n)
+		t.Errorf("%d arrivals in bursts, want 500 to 1700", n)
 	}
 	if n := countArrivals(t, burstTraffic, 0, from) + countArrivals(t, burstTraffic, to, end); n != 0 {
-		t.Errorf("%d outside of their span", n)
+		t.Errorf("%d arrivals before from or after to", n)
 	}
 }
 
-// The traffic of the relays varies as the scenario says; without a variation it is drawn as without the key.
+// The relays' shares of the traffic vary as RelayVariation requires. With a variation of 0 the plan is the same as
+// without the key.
 func TestRelayVariation(t *testing.T) {
 	const relays = 10
 	f := parse(t, "")
@@ -73,7 +75,7 @@
 		f.Clients.RelayVariation = variation
 		p := f.Draw(3)
 		if variation == 0 && text(t, p) != withoutKey {
-			t.Error("even shares are not drawn as without the key")
+			t.Error("a variation of 0 changes the plan")
 		}
 		counts := make([]float64, relays)
 		for _, a := range p.Arrivals {
@@ -84,7 +86,7 @@
 			variance += (n/mean - 1) * (n/mean - 1) / relays
 		}
 		if got := math.Sqrt(variance); got < variation/2 || got > 2*variation+0.05 {
-			t.Errorf("variation %v: a coefficient of variation of %.2f", variation, got)
+			t.Errorf("variation %v: the shares of the relays have a coefficient of variation of %.2f", variation, got)
 		}
 	}
 }
