--- a/internal/testkit/scenario/fault.go
+++ b/internal/testkit/scenario/fault.go
@@ -15,7 +15,7 @@
 	// Factor multiplies the service time of calls (slow) or divides the rate limit (lowered); default 10.
 	Factor           float64  `toml:"factor"`
 	DrainTime        Duration `toml:"drain"`        // drain: time from draining to removal; default 4s
-	BatchSize        int      `toml:"batch"`        // endpoints that leave together, evenly over Duration; default 1
+	BatchSize        int      `toml:"batch"`        // endpoints of a batch; batches are spread over Duration; default 1
 	ReplaceEndpoints bool     `toml:"replace"`      // drain, gone: replace each by a new endpoint
 	SameAddressRatio float64  `toml:"same_address"` // ratio of new endpoints that reuse the old one's address
 	Delay            Duration `toml:"delay"`        // discovery-late, link-delay: added delay
--- a/internal/testkit/scenario/file.go
+++ b/internal/testkit/scenario/file.go
@@ -123,7 +123,7 @@
 	MaxQueueTime     Duration           `toml:"queue"`
 	ExtraMessageCost float64            `toml:"item_cost"`     // work per further message, relative to the first
 	Limit            upstream.LimitKind `toml:"limit"`         // none (default), rate or window
-	LimitWindow      Duration           `toml:"window"`        // default 1s
+	LimitWindow      Duration           `toml:"window"`        // length of a window; default 1s
 	RetryAfterRatio  float64            `toml:"tells_wait"`    // ratio of rejections that carry a Retry-After
 	MinRetryAfter    Duration           `toml:"wait"`          // the shortest Retry-After
 	CountsRejected   bool               `toml:"refused_count"` // rejected calls use up a limit by rate too
--- a/internal/testkit/upstream/limit_test.go
+++ b/internal/testkit/upstream/limit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tokenBucketSpec limits the test service to 4 calls a second, one at a time.
+// tokenBucketSpec limits the test service to 4 calls a second, with a token bucket of one call.
 func tokenBucketSpec() Spec {
 	spec := testSpec()
 	spec.Limit = TokenBucket
