--- a/internal/testkit/fake/call.go
+++ b/internal/testkit/fake/call.go
@@ -11,25 +11,25 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
-// slotWait is how long a call beyond the slots of a relay waits for a free one. A relay that has given up a call may
-// use its slot again though the endpoint has not noticed yet.
+// slotWait is how long a call waits for a free slot if its relay occupies all of its slots. A relay that has aborted a
+// call may use the slot for the next call before the endpoint notices the abort.
 const slotWait = 30 * time.Millisecond
 
-// slotPollInterval is the pause between two looks for a free slot.
+// slotPollInterval is the pause between two checks for a free slot.
 const slotPollInterval = time.Millisecond
 
-// call is a call as an endpoint received it.
+// call is a parsed call that an endpoint received.
 type call struct {
-	number     uint64
-	ids        []string // of its messages
+	number     uint64   // unique in the run
+	ids        []string // of the messages in the call
 	isBatch    bool
-	receivedAt time.Duration
+	receivedAt time.Duration // when the last byte arrived, since the run began
 
-	rejectStatus int // 0: it is well formed
+	rejectStatus int // HTTP status that rejects a malformed call; 0: the call is well formed
 	rejectReason string
 }
 
-// parseCall parses a request.
+// parseCall returns the call that a request makes. If the request is malformed, the call has a rejectStatus.
 func parseCall(request *http.Request, body []byte) call {
 	if request.Method != http.MethodPost {
 		return rejectedCall(http.StatusMethodNotAllowed, "method %s", request.Method)
@@ -51,7 +51,7 @@
 	return call{rejectStatus: status, rejectReason: fmt.Sprintf(format, args...)}
 }
 
-// parseBatch parses the body of a call with several messages.
+// parseBatch parses the body of a batch, a call with several messages.
 func parseBatch(body []byte) call {
 	var items []struct {
 		ID   string `json:"id"`
@@ -73,25 +73,25 @@
 	return batch
 }
 
-// answer is the answer to a call.
+// answer describes the response to a call.
 type answer struct {
-	status     int
-	retryAfter time.Duration
-	states     []string // of the messages of a batch
-	noSlot     bool     // the relay has more calls than slots
-	holdsSlot  bool     // the call has one of the relay's slots
-
-	latency time.Duration // from the call's arrival
-	silent  bool          // it is never sent
-	lost    bool          // the connection ends in its place
+	status     int           // HTTP status
+	retryAfter time.Duration // 0: no Retry-After header
+	states     []string      // of the messages of a batch, in the order of the call's ids; nil: no body
+	noSlot     bool          // the relay has no free slot
+	holdsSlot  bool          // the call occupies one of the relay's slots
+
+	latency time.Duration // from receiving the call to sending the answer
+	silent  bool          // the answer is never sent
+	lost    bool          // the connection is closed instead of sending the answer
 }
 
-// delivers reports whether the answer says that the i-th message of the call is delivered.
+// delivers reports whether the answer confirms the delivery of the i-th message of the call.
 func (a answer) delivers(i int) bool {
 	return a.status == http.StatusOK && (a.states == nil || a.states[i] == messageDelivered)
 }
 
-// text returns the answer as it is sent.
+// text returns the HTTP response to a call whose messages have these ids.
 func (a answer) text(ids []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
@@ -106,7 +106,7 @@
 	return b.String()
 }
 
-// body returns the states of the messages of a batch; nothing for other calls.
+// body returns the states of a batch's messages as JSON; nil if the answer has no states.
 func (a answer) body(ids []string) []byte {
 	if a.states == nil {
 		return nil
@@ -121,12 +121,12 @@
 	}
 	body, err := json.Marshal(items)
 	if err != nil {
-		panic(err) // strings only
+		panic(err) // cannot happen: the items hold only strings
 	}
 	return body
 }
 
-// decide determines the answer to a call.
+// decide determines the answer to a call. A well-formed call takes a slot if the relay has a free one.
 func (c *endpointConn) decide(received call) answer {
 	if received.rejectStatus != 0 {
 		c.endpoint.recordInvalid(c.relay, received.rejectReason)
@@ -143,12 +143,12 @@
 	return decided
 }
 
-// handle determines the answer to a call that has a slot. The caller holds world.mu.
+// handle determines the answer to a call that holds a slot. The caller holds world.mu.
 func (e *Endpoint) handle(received call) answer {
 	states, deliverable, known := e.world.countAttempts(received.ids)
 	switch {
 	case !known:
-		return answer{status: http.StatusBadRequest} // the checker finds the call
+		return answer{status: http.StatusBadRequest} // the checker reports the call
 	case deliverable > 0:
 		return newAnswer(e.world.handleCall(e, deliverable), received.isBatch, states)
 	case received.isBatch:
@@ -159,7 +159,7 @@
 	return answer{status: http.StatusGatewayTimeout}
 }
 
-// newAnswer returns the answer that a service responds with.
+// newAnswer converts the response of a service to an answer. The states are those that countAttempts returned.
 func newAnswer(response upstream.Response, isBatch bool, states []string) answer {
 	a := answer{
 		latency:    response.Latency,
@@ -185,7 +185,7 @@
 	return a
 }
 
-// withDelivered marks the messages without a state as delivered.
+// withDelivered changes each empty state to delivered, in place.
 func withDelivered(states []string) []string {
 	for i, state := range states {
 		if state == "" {
@@ -195,7 +195,7 @@
 	return states
 }
 
-// acquireSlot takes one of the slots of a relay, for which it waits a moment. It reports whether there was one.
+// acquireSlot takes one of the slots of a relay, waiting up to slotWait for a free one. It reports whether it took one.
 func (w *World) acquireSlot(relay string) bool {
 	for deadline := time.Now().Add(slotWait); ; time.Sleep(slotPollInterval) {
 		if w.tryAcquireSlot(relay) {
--- a/internal/testkit/fake/call_test.go
+++ b/internal/testkit/fake/call_test.go
@@ -50,7 +50,7 @@
 		h.mu.Unlock()
 		response := h.call(h.dialEndpoint(), callText("m"))
 		if (response.StatusCode == http.StatusGatewayTimeout) != (attempts >= maxAttempts) {
-			t.Errorf("attempt %d: status %d", attempts+1, response.StatusCode)
+			t.Errorf("attempt %d of at most %d: status %d", attempts+1, maxAttempts, response.StatusCode)
 		}
 	}
 }
@@ -64,6 +64,6 @@
 	var got []struct{ ID, State string }
 	err := json.NewDecoder(response.Body).Decode(&got)
 	if err != nil || response.StatusCode != http.StatusOK || fmt.Sprint(got) != "[{a ok} {b gone} {c ok}]" {
-		t.Errorf("%d %v, %v", response.StatusCode, got, err)
+		t.Errorf("status %d, states %v, error %v", response.StatusCode, got, err)
 	}
 }
--- a/internal/testkit/fake/clientconn.go
+++ b/internal/testkit/fake/clientconn.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// maxRetryAfterSeconds bounds the Retry-After that clients believe.
+	// maxRetryAfterSeconds bounds Retry-After headers: clients ignore a header with this value or a larger one.
 	maxRetryAfterSeconds = 1e6
-	// maxRequestHeadSize is more than the head of a request has, in bytes.
+	// maxRequestHeadSize is the buffer space for the head of a request, in bytes.
 	maxRequestHeadSize = 512
-	// clientReadBufferSize is enough for the answers of relays, which are short.
+	// clientReadBufferSize is the size of a connection's read buffer, in bytes. The answers of relays are short.
 	clientReadBufferSize = 1024
-	// bodyPattern is repeated in the bodies of messages.
+	// bodyPattern is repeated to fill the bodies of messages.
 	bodyPattern = "0123456789abcdef"
 )
 
-// errNotAccepting means that the relay accepts no new connections.
+// errNotAccepting is returned if the relay accepts no new connections or the clients are closed.
 var errNotAccepting = errors.New("the relay accepts no connections")
 
-// clientConn is a connection of a client to the relay.
+// clientConn is a client's connection to the relay.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool // it has served a request before
+	reused bool // an earlier request was answered on this connection
 }
 
-// exchange sends a submission and reads the answer. It returns the cause if there is none, and otherwise the connection
-// for drop or keep. If the relay closed an idle connection meanwhile, the request is sent once more on a new one.
+// exchange sends a submission and reads the answer. If there is an answer, the caller must pass the connection to keep
+// or drop. Otherwise, cause states why there is none. If the relay closed an idle connection before it read the
+// request, the request is sent once more on a new connection.
 func (c *Clients) exchange(
 	ctx context.Context,
 	s submission,
@@ -49,24 +50,24 @@
 		if err != nil {
 			return nil, nil, eventlog.CauseNotSent
 		}
-		response, cause, untouched := conn.roundTrip(c.requestText(s), deadline)
+		response, cause, maybeUnread := conn.roundTrip(c.requestText(s), deadline)
 		if cause == "" {
 			return conn, response, ""
 		}
 		c.drop(conn)
-		if !untouched || !conn.reused || mustBeNew {
+		if !maybeUnread || !conn.reused || mustBeNew {
 			return nil, nil, cause
 		}
 	}
 }
 
-// roundTrip sends a request and reads the answer with its body. It returns the cause if there is no answer, and whether
-// the relay may have closed the connection before it read the request.
+// roundTrip sends a request and reads the answer with its body. If there is no answer, it returns the cause, and
+// maybeUnread reports whether the relay may have closed the connection before it read the request.
 func (conn *clientConn) roundTrip(
 	request []byte,
 	deadline time.Time,
-) (response *http.Response, cause string, untouched bool) {
-	_ = conn.SetDeadline(deadline) // an error shows at the write
+) (response *http.Response, cause string, maybeUnread bool) {
+	_ = conn.SetDeadline(deadline) // if this fails, the write fails, too
 	if _, err := conn.Write(request); err != nil {
 		return nil, eventlog.CauseNotSent, true
 	}
@@ -84,7 +85,7 @@
 	return nil, eventlog.CauseClosed, response == nil && conn.reader.Buffered() == 0
 }
 
-// parseRetryAfter returns the Retry-After of an answer; 0: none.
+// parseRetryAfter returns the Retry-After of an answer; 0 if it is missing or invalid.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err == nil && seconds > 0 && seconds < maxRetryAfterSeconds {
@@ -93,7 +94,7 @@
 	return 0
 }
 
-// requestText returns the request of a submission as it is sent.
+// requestText returns the HTTP request of a submission.
 func (c *Clients) requestText(s submission) []byte {
 	var b bytes.Buffer
 	b.Grow(maxRequestHeadSize + s.BodySize)
@@ -120,7 +121,7 @@
 	return b.Bytes()
 }
 
-// connection returns an idle connection unless it must be new, or makes one.
+// connection returns an idle connection. If there is none, or if mustBeNew is set, it opens a new one.
 func (c *Clients) connection(ctx context.Context, deadline time.Time, mustBeNew bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !mustBeNew {
@@ -146,7 +147,7 @@
 	return conn, nil
 }
 
-// keep makes a connection idle.
+// keep makes a connection idle, so that another submission can use it.
 func (c *Clients) keep(conn *clientConn) {
 	conn.reused = true
 	c.mu.Lock()
@@ -158,7 +159,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// drop closes a connection.
+// drop closes a connection that is not idle.
 func (c *Clients) drop(conn *clientConn) {
 	discard(conn)
 	c.mu.Lock()
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// reconnectPause is the pause before a message is submitted again that was not sent.
+	// reconnectPause is the pause before a message is resubmitted because its request was not sent.
 	reconnectPause = 50 * time.Millisecond
-	// unansweredPause is the pause before a message is submitted again that got no answer.
+	// unansweredPause is the pause before a message is resubmitted because its request got no answer.
 	unansweredPause = 100 * time.Millisecond
-	// maxUnanswered is how many submissions without an answer a client makes before it gives up.
+	// maxUnanswered is how many submissions of a message may stay unanswered before its client gives up.
 	maxUnanswered = 2
-	// maxRejections is how many rejections a client takes before it gives up.
+	// maxRejections is how many submissions of a message may be rejected before its client gives up.
 	maxRejections = 2
 )
 
-// The values of X-Second-Try, which tells a relay why a message is submitted again.
+// Values of the X-Second-Try header, which states why a message is resubmitted.
 const (
 	secondTryRejected   = "1"
 	secondTryUnanswered = "again"
 )
 
-// Clients submits messages to one relay as its clients do: they wait for an answer until a timeout, and may submit once
-// more after a rejection, and after an answer that did not come.
+// Clients simulates the clients of one relay. A client waits for the answer to a submission until a timeout. It may
+// resubmit a message once after a rejection and once after a submission without an answer. A message that was not sent
+// is resubmitted until its deadline.
 type Clients struct {
 	relay       string
 	addr        string
 	file        scenario.File
 	events      *eventlog.Writer
 	world       *World
-	headers     []string // the constant part of request heads, by class and customer
-	submissions sync.WaitGroup
+	headers     []string       // the constant part of request heads, by class and customer
+	submissions sync.WaitGroup // the goroutines of Submit
 
 	mu        sync.Mutex // guards the fields below
 	idle      []*clientConn
-	open      map[*clientConn]struct{}
-	accepting bool          // the relay accepts connections
-	changed   chan struct{} // closed and replaced when accepting becomes true
+	open      map[*clientConn]struct{} // including the idle connections
+	accepting bool                     // the relay accepts connections
+	changed   chan struct{}            // closed and replaced when accepting is set to true
 	closed    bool
 }
 
-// NewClients returns the clients of a relay at an address. They wait until SetAccepting.
+// NewClients returns the clients of the relay at addr. They open no connections before SetAccepting(true).
 func NewClients(relay, addr string, file scenario.File, events *eventlog.Writer, world *World) *Clients {
 	c := &Clients{
 		relay:   relay,
@@ -67,7 +68,7 @@
 	return c
 }
 
-// SetAccepting tells the clients whether the relay accepts new connections, as its load balancer knows it.
+// SetAccepting sets whether the relay accepts new connections, as a load balancer would report to its clients.
 func (c *Clients) SetAccepting(accepting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// Close closes all connections and waits for the submissions.
+// Close closes all connections and waits until all submissions have ended.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -89,23 +90,24 @@
 	c.submissions.Wait()
 }
 
-// Wait waits until every message has its answer and is not submitted again.
+// Wait waits until the clients are done with every message: no answer is outstanding and no message will be
+// resubmitted.
 func (c *Clients) Wait() { c.submissions.Wait() }
 
-// Submit submits a message in a goroutine of its own. The delay is that against the plan.
+// Submit submits a message in its own goroutine. delay is how much later than planned that happens.
 func (c *Clients) Submit(ctx context.Context, arrival scenario.Arrival, delay time.Duration) {
 	c.submissions.Go(func() { c.submitWithRetries(ctx, arrival, delay) })
 }
 
-// submission is one request of a client.
+// submission is one request of a client, which submits a message.
 type submission struct {
 	scenario.Arrival
-	firstID   string // of the first submission of the message
-	secondTry string // X-Second-Try; "": it is the first
+	firstID   string // id of the message's first submission
+	secondTry string // value of X-Second-Try; "": the header is not sent
 	deadline  time.Time
 }
 
-// submitWithRetries submits a message, and again as clients do, until its deadline.
+// submitWithRetries submits a message and resubmits it, as described at Clients, until its deadline.
 func (c *Clients) submitWithRetries(ctx context.Context, arrival scenario.Arrival, delay time.Duration) {
 	class := c.file.Classes[arrival.Class]
 	s := submission{
@@ -136,7 +138,7 @@
 				return
 			}
 			pause = reconnectPause
-		case out.kind == noAnswer: // the relay may have accepted the message
+		case out.kind == noAnswer: // the relay may have accepted the message: it is resubmitted only if idempotent
 			unanswered++
 			if unanswered == maxUnanswered || class.Effect == eventlog.NonIdempotent {
 				return
@@ -151,7 +153,8 @@
 	}
 }
 
-// awaitAccepting waits until the relay accepts connections; false if the deadline comes before.
+// awaitAccepting waits until the relay accepts connections and reports whether it does. The wait ends early when the
+// deadline passes, ctx ends or the clients are closed.
 func (c *Clients) awaitAccepting(ctx context.Context, deadline time.Time) bool {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -170,16 +173,16 @@
 	}
 }
 
-// outcomeKind is what became of a submission.
+// outcomeKind is the kind of result of a submission.
 type outcomeKind int
 
 const (
 	answered outcomeKind = iota
-	noAnswer             // the request was sent, as far as the client knows
-	notSent
+	noAnswer             // the request was written to the connection, but no answer arrived
+	notSent              // no connection was made, or writing the request failed
 )
 
-// String returns the kind for messages of tests.
+// String returns the kind as text for test failures.
 func (k outcomeKind) String() string {
 	switch k {
 	case answered:
@@ -192,19 +195,19 @@
 	return fmt.Sprintf("outcomeKind(%d)", int(k))
 }
 
-// outcome is what became of a submission, with the answer's status and Retry-After if there is one.
+// outcome is the result of a submission. If there is no answer, status and retryAfter are 0.
 type outcome struct {
 	kind       outcomeKind
 	status     int
 	retryAfter time.Duration
 }
 
-// isRejection reports whether the answer invites the client to submit again later.
+// isRejection reports whether the answer asks the client to resubmit the message later.
 func (o outcome) isRejection() bool {
 	return o.status == http.StatusTooManyRequests || o.status == http.StatusServiceUnavailable
 }
 
-// submit submits a message once, and records what becomes of it.
+// submit submits a message once and records the result.
 func (c *Clients) submit(ctx context.Context, s submission, delay time.Duration) outcome {
 	c.world.RegisterMessage(s.ID, s.deadline)
 	c.events.Add(eventlog.Event{
--- a/internal/testkit/fake/clients_test.go
+++ b/internal/testkit/fake/clients_test.go
@@ -25,7 +25,7 @@
 // relayHandler handles a request on the n-th connection, counted from 1.
 type relayHandler func(n int, conn net.Conn, request *http.Request)
 
-// startRelay starts a server in place of a relay.
+// startRelay starts a server that stands in for a relay. It closes with the test.
 func startRelay(t testing.TB, handle relayHandler) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", anyLoopbackAddr)
@@ -45,7 +45,7 @@
 	return listener.Addr().String()
 }
 
-// serveRelay serves a connection until its client closes it.
+// serveRelay serves a connection until it closes.
 func serveRelay(n int, conn net.Conn, handle relayHandler) {
 	defer nettest.Close(conn)
 	for reader := bufio.NewReader(conn); ; {
@@ -62,7 +62,7 @@
 
 func acceptAll(_ int, conn net.Conn, _ *http.Request) { nettest.Send(conn, acceptedResponse) }
 
-// newClients returns clients of a relay that accepts connections.
+// newClients returns the clients of a relay that accepts connections.
 func newClients(h *harness, addr string) *Clients {
 	clients := NewClients(testRelay, addr, h.plan.File, h.events, h.World)
 	clients.SetAccepting(true)
@@ -74,7 +74,7 @@
 	return scenario.Arrival{ID: id, Destination: 1, BodySize: 10}
 }
 
-// clientEvent is what tests compare of an event of a client.
+// clientEvent holds the fields of a client's event that tests compare.
 type clientEvent struct {
 	kind   eventlog.Kind
 	status int
@@ -89,7 +89,7 @@
 	closed    = clientEvent{kind: eventlog.SubmissionUnanswered, cause: eventlog.CauseClosed}
 )
 
-// submitAndWait submits a message and waits until its client is done. It returns all events of clients so far.
+// submitAndWait submits a message and waits until its client is done. It returns all client events recorded so far.
 func (h *harness) submitAndWait(clients *Clients, arrival scenario.Arrival) []eventlog.Event {
 	clients.Submit(context.Background(), arrival, 0)
 	clients.Wait()
@@ -102,7 +102,7 @@
 	})
 }
 
-// expectEvents fails the test unless the events are those that are wanted.
+// expectEvents fails the test unless the events equal want.
 func expectEvents(t *testing.T, events []eventlog.Event, want ...clientEvent) {
 	t.Helper()
 	var got []clientEvent
@@ -110,7 +110,7 @@
 		got = append(got, clientEvent{kind: e.Kind, status: e.Status, cause: e.Cause})
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("%+v, want %+v", got, want)
+		t.Fatalf("client events %+v, want %+v", got, want)
 	}
 }
 
@@ -126,10 +126,10 @@
 	events := h.submitAndWait(newClients(h, addr), arrival)
 	expectEvents(t, events, submitted, rejected, submitted, rejected)
 	if events[2].FirstID != "m" || events[2].ID == "m" || events[2].At-events[1].At < 50*time.Millisecond {
-		t.Errorf("%+v", events[2])
+		t.Errorf("second submission: %+v", events[2])
 	}
 	if secondTries[1] != "1" {
-		t.Errorf("X-Second-Try %q", secondTries)
+		t.Errorf("X-Second-Try of the two requests: %q, want 1 in the second", secondTries)
 	}
 }
 
@@ -143,17 +143,17 @@
 	events := h.submitAndWait(newClients(h, addr), testArrival("m"))
 	expectEvents(t, events, submitted, timedOut, submitted, accepted)
 	if waited := events[1].At - events[0].At; waited < 390*time.Millisecond {
-		t.Errorf("the client left after %v", waited)
+		t.Errorf("the client stopped waiting for the answer after %v", waited)
 	}
 }
 
-// A relay may close an idle connection while a request is on its way: the client sends it on a new one.
+// If a relay closes an idle connection while a request is on its way, the client resends the request on a new one.
 func TestClientsResendIfIdleConnectionCloses(t *testing.T) {
 	h := newHarness(t)
 	var answered atomic.Bool
 	addr := startRelay(t, func(n int, conn net.Conn, _ *http.Request) {
 		if n == 1 && answered.Swap(true) {
-			nettest.Close(conn) // between two requests, as the client sees it
+			nettest.Close(conn) // the client sees the idle connection close without an answer
 			return
 		}
 		nettest.Send(conn, acceptedResponse)
@@ -174,7 +174,7 @@
 	events := h.submitAndWait(newClients(h, addr), testArrival("m"))
 	expectEvents(t, events, submitted, closed, submitted, closed)
 	if n := requests.Load(); n != 2 {
-		t.Errorf("%d requests of 2 submissions", n)
+		t.Errorf("2 submissions made %d requests, want 2", n)
 	}
 }
 
@@ -189,7 +189,7 @@
 	clients.Wait()
 }
 
-// The messages that one goroutine of clients submits in a second to a relay that answers at once.
+// BenchmarkSubmit measures how many messages a second one goroutine submits to a relay that answers at once.
 func BenchmarkSubmit(b *testing.B) {
 	h := newHarness(b)
 	clients := newClients(h, startRelay(b, acceptAll))
@@ -200,7 +200,7 @@
 		arrival := scenario.Arrival{ID: fmt.Sprint("m", n), IdempotencyKey: "k", Destination: 1, BodySize: 200}
 		s := submission{Arrival: arrival, deadline: time.Now().Add(time.Minute)}
 		if out := clients.submit(context.Background(), s, 0); out.kind != answered {
-			b.Fatalf("%v", out.kind)
+			b.Fatalf("outcome of message %d: %v, want %v", n, out.kind, answered)
 		}
 	}
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
--- a/internal/testkit/fake/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// notificationTimeout is when a relay that runs counts as notified of an update, whether or not it arrived.
+	// notificationTimeout is how long after an update a running relay counts as notified, even if it has not read the
+	// update.
 	notificationTimeout = 6 * time.Second
 	// headerTimeout bounds the time to read the head of a request to the agent.
 	headerTimeout = 5 * time.Second
@@ -32,14 +33,14 @@
 	StartedMS   int64   `json:"started_ms"`
 }
 
-// EndpointList is the endpoint list, or updates of it, as discovery sends it.
+// EndpointList is a snapshot of the endpoint list, or updates of the list, as discovery sends them.
 type EndpointList struct {
 	Version   int64            `json:"version"`
-	Full      bool             `json:"full"` // a snapshot; else updates since an earlier version
+	Full      bool             `json:"full"` // true: a snapshot; false: the updates since an earlier version
 	Endpoints []ListedEndpoint `json:"servers"`
 }
 
-// DiscoveryAgent is the agent of discovery on the machine of one relay.
+// DiscoveryAgent is a fake of the discovery agent that serves one relay on the relay's machine.
 type DiscoveryAgent struct {
 	relay    string
 	events   *eventlog.Writer
@@ -48,22 +49,22 @@
 	server   *http.Server
 	serving  sync.WaitGroup
 
-	mu           sync.Mutex    // guards the fields below
-	changed      chan struct{} // closed and replaced when there may be something to send
-	listed       map[string]ListedEndpoint
-	updates      []update         // since the start; the version of the list is their number
-	deferred     []ListedEndpoint // updates that came while the agent is silent
-	silent       bool
+	mu           sync.Mutex                // guards the fields below
+	changed      chan struct{}             // closed and replaced when there may be something to send
+	listed       map[string]ListedEndpoint // the current list, by endpoint id
+	updates      []update                  // all updates since the start; their number is the version of the list
+	deferred     []ListedEndpoint          // updates received while the agent is silent
+	silent       bool                      // nothing is sent to the relay
 	relayRunning bool
 }
 
-// update is an update of the list.
+// update is a change of one entry of the list.
 type update struct {
 	ListedEndpoint
-	notified bool // the relay counts as notified of it
+	notified bool // the relay counts as notified of this update
 }
 
-// NewDiscoveryAgent starts the agent of a relay, which counts as notified of the list.
+// NewDiscoveryAgent starts the agent of a relay. The relay counts as notified of the given list.
 func NewDiscoveryAgent(
 	relay string,
 	events *eventlog.Writer,
@@ -102,7 +103,7 @@
 // Addr returns the address of the agent.
 func (a *DiscoveryAgent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its connections.
+// Close stops the server, closes its connections and ends the requests that wait.
 func (a *DiscoveryAgent) Close() error {
 	err := a.server.Close()
 	a.serving.Wait()
@@ -113,7 +114,7 @@
 	return err
 }
 
-// Update gives the agent an update of the list. While it is silent, the update is deferred.
+// Update updates an entry of the list. While the agent is silent, the update is deferred.
 func (a *DiscoveryAgent) Update(endpoint ListedEndpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,7 +125,8 @@
 	a.applyUpdate(endpoint)
 }
 
-// SetSilent makes the agent send nothing, or send again beginning with the updates that came meanwhile.
+// SetSilent sets whether the agent is silent. A silent agent sends nothing to the relay and defers updates. When it is
+// no longer silent, it applies the deferred updates and sends again.
 func (a *DiscoveryAgent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -139,7 +141,8 @@
 	a.wake()
 }
 
-// SetRelayRunning tells the agent whether the relay runs: one that does not run is not notified.
+// SetRelayRunning sets whether the relay runs. Only a running relay counts as notified after notificationTimeout. When
+// the relay starts, that time begins again for each update that it has not been notified of.
 func (a *DiscoveryAgent) SetRelayRunning(running bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -154,7 +157,7 @@
 	}
 }
 
-// NotifiedList returns the list that the relay was notified of last.
+// NotifiedList returns the newest version of the list that the relay counts as notified of.
 func (a *DiscoveryAgent) NotifiedList() EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +169,7 @@
 	return snapshot(version, listed)
 }
 
-// applyUpdate applies an update to the list. The caller holds mu.
+// applyUpdate applies an update to the list and wakes the requests that wait for one. The caller holds mu.
 func (a *DiscoveryAgent) applyUpdate(endpoint ListedEndpoint) {
 	a.updates = append(a.updates, update{ListedEndpoint: endpoint})
 	applyTo(a.listed, endpoint)
@@ -174,8 +177,8 @@
 	a.scheduleNotified(len(a.updates) - 1)
 }
 
-// scheduleNotified counts the relay as notified of an update after notificationTimeout, if the relay runs then and the
-// agent is not silent. The caller holds mu.
+// scheduleNotified marks the i-th update as notified after notificationTimeout, if the relay runs and the agent is not
+// silent at that time. The caller holds mu.
 func (a *DiscoveryAgent) scheduleNotified(i int) {
 	time.AfterFunc(notificationTimeout, func() {
 		a.mu.Lock()
@@ -186,7 +189,7 @@
 	})
 }
 
-// setNotifiedUpTo counts the relay as notified of the list in a version.
+// setNotifiedUpTo marks all updates up to a version of the list as notified.
 func (a *DiscoveryAgent) setNotifiedUpTo(version int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -195,7 +198,7 @@
 	}
 }
 
-// setNotified counts the relay as notified of an update. The caller holds mu.
+// setNotified marks the i-th update as notified and records that, unless it is marked already. The caller holds mu.
 func (a *DiscoveryAgent) setNotified(i int) {
 	if a.updates[i].notified {
 		return
@@ -210,7 +213,7 @@
 	a.changed = make(chan struct{})
 }
 
-// applyTo applies an update to a list.
+// applyTo updates the entry of an endpoint in a list, or removes the entry if the endpoint is gone.
 func applyTo(listed map[string]ListedEndpoint, endpoint ListedEndpoint) {
 	if endpoint.State == eventlog.StateGone {
 		delete(listed, endpoint.ID)
@@ -219,7 +222,7 @@
 	}
 }
 
-// snapshot returns a list in the order of ids.
+// snapshot returns the whole list as an EndpointList with the given version, sorted by endpoint id.
 func snapshot(version int, listed map[string]ListedEndpoint) EndpointList {
 	endpoints := make([]ListedEndpoint, 0, len(listed))
 	for _, id := range slices.Sorted(maps.Keys(listed)) {
@@ -238,7 +241,7 @@
 	})
 }
 
-// recordInvalid records something that makes the run invalid.
+// recordInvalid records an event that makes the run invalid.
 func (a *DiscoveryAgent) recordInvalid(id, cause string) {
 	a.events.Add(eventlog.Event{Kind: eventlog.RunInvalid, Relay: a.relay, ID: id, Cause: cause})
 }
--- a/internal/testkit/fake/discovery_test.go
+++ b/internal/testkit/fake/discovery_test.go
@@ -13,7 +13,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// newAgent starts an agent of a relay that runs, with one endpoint in the list.
+// newAgent starts the agent of a running relay, with one endpoint in the list.
 func newAgent(t *testing.T, h *harness) *DiscoveryAgent {
 	t.Helper()
 	list := []ListedEndpoint{{ID: "s-1", Addr: "x:1", State: eventlog.StateReady, Destination: 1}}
@@ -40,7 +40,7 @@
 	lists chan EndpointList
 }
 
-// startWatch starts a watch from a version. It ends with the test.
+// startWatch starts a watch from a version of the list. The watch ends with the test.
 func startWatch(t *testing.T, agent *DiscoveryAgent, version int) *watch {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), nettest.Patience)
@@ -83,14 +83,14 @@
 	}
 }
 
-// next returns the next list.
+// next waits for the next list and returns it.
 func (w *watch) next() EndpointList {
 	w.t.Helper()
 	select {
 	case list := <-w.lists:
 		return list
 	case <-w.ctx.Done():
-		w.t.Fatal("no list")
+		w.t.Fatalf("the watch received no list within %v of its start", nettest.Patience)
 		return EndpointList{}
 	}
 }
@@ -100,22 +100,22 @@
 	agent := newAgent(t, h)
 	watching := startWatch(t, agent, 0)
 	if list := watching.next(); !list.Full || list.Version != 1 || len(list.Endpoints) != 1 {
-		t.Errorf("%+v", list)
+		t.Errorf("first list: %+v, want a snapshot of version 1", list)
 	}
 	agent.Update(ListedEndpoint{ID: "s-2", State: eventlog.StateReady})
 	if list := watching.next(); list.Full || list.Version != 2 || list.Endpoints[0].ID != "s-2" {
-		t.Errorf("%+v", list)
+		t.Errorf("list after the update: %+v, want the change of version 2", list)
 	}
-	// The relay counts as notified once the agent has written the line, which may be after a client has read it.
+	// The relay counts as notified after the agent has written the line. The watch may have read the line before that.
 	h.waitFor(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Endpoint == "s-2" })
 	agent.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateGone})
 	watching.next()
 	h.waitFor(eventlog.RelayNotified, withState(eventlog.StateGone))
 	if list := agent.NotifiedList(); list.Version != 3 || len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
-		t.Errorf("notified: %+v", list)
+		t.Errorf("notified list: %+v, want version 3 with s-2", list)
 	}
 	if list := startWatch(t, agent, 99).next(); !list.Full || list.Version != 3 {
-		t.Errorf("a watch from a version that never was: %+v", list)
+		t.Errorf("watch from a version that does not exist: %+v, want a snapshot of version 3", list)
 	}
 }
 
@@ -130,21 +130,21 @@
 	agent.SetSilent(true)
 	agent.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateDraining})
 	if _, notified := h.find(eventlog.RelayNotified, withState(eventlog.StateDraining)); notified {
-		t.Error("notified while the agent was silent")
+		t.Error("the relay counts as notified of an update that the silent agent deferred")
 	}
 	if version := agent.NotifiedList().Version; version != 2 {
-		t.Errorf("notified of version %d while the agent was silent", version)
+		t.Errorf("the relay counts as notified of version %d while the agent is silent, want 2", version)
 	}
 	if version := agent.version(); version != 2 {
-		t.Errorf("the list has version %d while the agent is silent", version)
+		t.Errorf("the list has version %d while the agent is silent, want 2", version)
 	}
-	startedMeanwhile := startWatch(t, agent, 1) // waits, too
+	startedWhileSilent := startWatch(t, agent, 1) // receives nothing yet
 	agent.SetSilent(false)
 	if list := watching.next(); list.Version != 3 || list.Endpoints[0].State != eventlog.StateDraining {
-		t.Errorf("%+v", list)
+		t.Errorf("list after the silence: %+v, want the deferred update as version 3", list)
 	}
-	if list := startedMeanwhile.next(); list.Full || list.Version != 3 || len(list.Endpoints) != 2 {
-		t.Errorf("a watch from version 1: %+v", list)
+	if list := startedWhileSilent.next(); list.Full || list.Version != 3 || len(list.Endpoints) != 2 {
+		t.Errorf("watch from version 1: %+v, want two updates to version 3", list)
 	}
 	h.waitFor(eventlog.RelayNotified, withState(eventlog.StateDraining))
 }
@@ -172,10 +172,10 @@
 	expectStatus(notices, http.StatusNoContent)
 	e := h.waitFor(eventlog.MessageNotice, func(e eventlog.Event) bool { return e.ID == "m2" })
 	if e.State != eventlog.StateDeferred || e.RetryAfter != 500*time.Millisecond {
-		t.Errorf("%+v", e)
+		t.Errorf("notice of m2: %+v, want deferred for 500ms", e)
 	}
 	if n := h.UnresolvedMessages(); n != 0 {
-		t.Errorf("%d messages are unresolved", n)
+		t.Errorf("%d messages are unresolved, want 0", n)
 	}
 	expectStatus(`{"id":"m1","status":"lost"}`, http.StatusBadRequest)
 	h.waitFor(eventlog.RunInvalid, anyEvent)
--- a/internal/testkit/fake/discoveryhttp.go
+++ b/internal/testkit/fake/discoveryhttp.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// heartbeatInterval is the pause between the empty lines of a watch without news.
+	// heartbeatInterval is the time without a change after which a watch sends an empty line.
 	heartbeatInterval = 2 * time.Second
-	// maxNoticesSize bounds a request with notices, in bytes.
+	// maxNoticesSize bounds the body of a request with notices, in bytes.
 	maxNoticesSize = 1 << 20
 )
 
@@ -27,9 +27,9 @@
 	return mux
 }
 
-// serveList answers with a snapshot of the list, or with a watch.
+// serveList answers with a snapshot of the list, or serves a watch if the query has the parameter stream.
 func (a *DiscoveryAgent) serveList(w http.ResponseWriter, r *http.Request) {
-	if !a.awaitSpeech(r.Context()) {
+	if !a.waitWhileSilent(r.Context()) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -51,8 +51,8 @@
 	a.serveWatch(w, r, version)
 }
 
-// awaitSpeech waits while the agent is silent. It reports whether the request has not ended meanwhile.
-func (a *DiscoveryAgent) awaitSpeech(ctx context.Context) bool {
+// waitWhileSilent waits until the agent is not silent. It returns false if ctx ends first.
+func (a *DiscoveryAgent) waitWhileSilent(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
 		silent, changed := a.silent, a.changed
@@ -68,14 +68,14 @@
 	}
 }
 
-// serveWatch sends a line with the updates since a version, and one for each change after that. Version 0 and versions
-// that never were begin with a snapshot.
+// serveWatch sends a line with the updates since a version, and another line whenever the list changes. If the version
+// is 0 or newer than the list, the first line is a snapshot.
 func (a *DiscoveryAgent) serveWatch(w http.ResponseWriter, r *http.Request, version int) {
 	controller := http.NewResponseController(w)
 	if version == 0 {
 		version = noVersion
 	}
-	for a.awaitSpeech(r.Context()) {
+	for a.waitWhileSilent(r.Context()) {
 		line, next, changed := a.watchLine(version)
 		if _, err := w.Write(line); err != nil {
 			return
@@ -94,11 +94,12 @@
 	}
 }
 
-// noVersion is the version of a watch that needs a snapshot first.
+// noVersion is the version of a watch whose next line must be a snapshot.
 const noVersion = -1
 
-// watchLine returns the next line of a watch at a version, the version that it leads to, and a channel that is closed
-// when there may be another line. The line is empty if there is nothing new.
+// watchLine returns the next line of a watch that has sent all updates up to a version. It also returns the version
+// after this line, and a channel that is closed when there may be another line. The line is empty if the list has not
+// changed.
 func (a *DiscoveryAgent) watchLine(version int) (line []byte, next int, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +119,7 @@
 	return line, next, a.changed
 }
 
-// snapshotLine returns the list as it is sent, and its version. The caller holds mu.
+// snapshotLine returns the line with a snapshot of the list, and the list's version. The caller holds mu.
 func (a *DiscoveryAgent) snapshotLine() (line []byte, version int) {
 	version = len(a.updates)
 	return encodeLine(snapshot(version, a.listed)), version
@@ -127,19 +128,19 @@
 func encodeLine(list EndpointList) []byte {
 	line, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // numbers and strings only
+		panic(err) // cannot happen: the list holds only booleans, numbers and strings
 	}
 	return append(line, '\n')
 }
 
-// notice is a relay's notice of how a message ended.
+// notice is a relay's report of how a message ended.
 type notice struct {
 	ID           string `json:"id"`
 	Status       string `json:"status"`
 	RetryAfterMS int64  `json:"again_ms"`
 }
 
-// serveNotices accepts notices, also while the agent is silent.
+// serveNotices accepts notices, even while the agent is silent.
 func (a *DiscoveryAgent) serveNotices(w http.ResponseWriter, r *http.Request) {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, maxNoticesSize))
 	for {
@@ -160,7 +161,7 @@
 	}
 }
 
-// acceptNotice resolves the message of a notice and records it.
+// acceptNotice marks the message of a notice as resolved and records the notice.
 func (a *DiscoveryAgent) acceptNotice(n notice) {
 	a.world.ResolveMessage(n.ID)
 	a.events.Add(eventlog.Event{
--- a/internal/testkit/fake/endpoint.go
+++ b/internal/testkit/fake/endpoint.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// Endpoint is a fake endpoint. It has an address for each relay, which is how it knows the relay that calls.
+// Endpoint is a fake endpoint. It listens on a separate address for each relay, which identifies the calling relay.
 type Endpoint struct {
 	spec    scenario.Endpoint
 	world   *World
@@ -18,11 +18,12 @@
 	// Guarded by world.mu.
 	conns    map[*endpointConn]struct{}
 	isolated bool // its machine is cut off from the network
-	crashed  bool
-	stopped  bool
+	crashed  bool // its process has crashed and may restart
+	stopped  bool // its process was stopped for good
 }
 
-// AddEndpoint starts an endpoint of the plan, on new addresses or on those of an endpoint that has stopped.
+// AddEndpoint starts an endpoint of the plan. It listens on new addresses, or on those of the stopped endpoint that
+// spec.ReusesAddressOf names.
 func (w *World) AddEndpoint(spec scenario.Endpoint) (*Endpoint, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,7 +49,7 @@
 	return e, nil
 }
 
-// listenPorts listens for each relay, on the addresses of a previous endpoint if there is one.
+// listenPorts opens a port for each relay. If there is a previous endpoint, it uses that endpoint's addresses.
 func (w *World) listenPorts(previous *Endpoint) (map[string]*port, error) {
 	ports := map[string]*port{}
 	for _, relay := range w.relays {
@@ -69,10 +70,10 @@
 	return ports, nil
 }
 
-// Addr returns the address of the endpoint for a relay.
+// Addr returns the address on which the endpoint listens for a relay.
 func (e *Endpoint) Addr(relay string) string { return e.ports[relay].addr }
 
-// Stop ends the process of the endpoint for good. Its addresses refuse connections until another endpoint has them.
+// Stop ends the endpoint's process for good. Its addresses refuse connections until another endpoint listens on them.
 func (e *Endpoint) Stop() {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
@@ -89,7 +90,7 @@
 	})
 }
 
-// crash ends the process of the endpoint: connections are reset, and new ones refused.
+// crash ends the endpoint's process: open connections are reset, and new ones are refused.
 func (e *Endpoint) crash() {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
@@ -97,7 +98,8 @@
 	e.refuseConnections()
 }
 
-// isolate cuts the machine of the endpoint off: connections stay open and silent, and new ones do not come up.
+// isolate cuts the endpoint's machine off from the network: open connections stay open but silent, and attempts to open
+// new ones are not answered.
 func (e *Endpoint) isolate() error {
 	e.world.mu.Lock()
 	e.isolated = true
@@ -110,7 +112,8 @@
 	return nil
 }
 
-// restart starts the process of the endpoint after an outage. Earlier connections are reset.
+// restart ends an outage: the endpoint's process runs and its machine is on the network. Connections from before are
+// reset. A stopped endpoint stays stopped.
 func (e *Endpoint) restart() error {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// refuseConnections resets the connections and refuses new ones. The caller holds world.mu.
+// refuseConnections resets the open connections and refuses new ones. The caller holds world.mu.
 func (e *Endpoint) refuseConnections() {
 	e.resetConnections()
 	for _, p := range e.ports {
@@ -136,7 +139,7 @@
 	}
 }
 
-// resetConnections resets the connections. The caller holds world.mu.
+// resetConnections resets the open connections. The caller holds world.mu.
 func (e *Endpoint) resetConnections() {
 	for c := range e.conns {
 		c.abort()
@@ -144,24 +147,24 @@
 	clear(e.conns)
 }
 
-// isIsolated reports whether the machine of the endpoint is cut off.
+// isIsolated reports whether the endpoint's machine is cut off from the network.
 func (e *Endpoint) isIsolated() bool {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
 	return e.isolated
 }
 
-// serve starts to serve a connection of a relay.
+// serve starts a goroutine that serves a connection of a relay.
 func (e *Endpoint) serve(conn net.Conn, relay string) {
 	c := &endpointConn{Conn: conn, endpoint: e, relay: relay, aborted: make(chan struct{})}
 	if !e.addConnection(c) {
-		c.abort() // it was accepted just before the process ended
+		c.abort() // the connection was accepted just before the process ended
 		return
 	}
 	e.world.goroutines.Go(c.serve)
 }
 
-// addConnection adds a connection, and reports whether the process runs.
+// addConnection adds a connection if the endpoint's process runs, and reports whether it runs.
 func (e *Endpoint) addConnection(c *endpointConn) bool {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
@@ -179,7 +182,7 @@
 	delete(e.conns, c)
 }
 
-// recordInvalid records something that makes the run invalid.
+// recordInvalid records an event that makes the run invalid.
 func (e *Endpoint) recordInvalid(relay, cause string) {
 	e.world.events.Add(eventlog.Event{Kind: eventlog.RunInvalid, Relay: relay, Endpoint: e.spec.ID, Cause: cause})
 }
--- a/internal/testkit/fake/endpointconn.go
+++ b/internal/testkit/fake/endpointconn.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// maxBodySize bounds what is read of the body of an answer, in bytes.
+	// maxBodySize is the most that is read of the body of an answer, in bytes.
 	maxBodySize = 64 << 10
-	// maxCallSize bounds what is read of the body of a call, in bytes.
+	// maxCallSize is the most that is read of the body of a call, in bytes.
 	maxCallSize = 16 * maxBodySize
-	// keepAliveGrace is how much longer than they announce endpoints keep an idle connection.
+	// keepAliveGrace is how much longer than KeepAliveTimeout endpoints keep an idle connection open.
 	keepAliveGrace = time.Second
 )
 
-// endpointConn is a connection of a relay to an endpoint.
+// endpointConn is an endpoint's side of a connection from a relay.
 type endpointConn struct {
 	net.Conn
 	endpoint *Endpoint
 	relay    string
 	aborted  chan struct{} // closed when the endpoint ends the connection
 	endOnce  sync.Once
-	readDone bool // a read has failed; for the goroutine that reads
+	readDone bool // a read has failed; used only by the reading goroutine
 }
 
 // abort ends the connection with a reset.
 func (c *endpointConn) abort() {
 	c.end(func() {
 		if conn, ok := c.Conn.(*net.TCPConn); ok {
-			_ = conn.SetLinger(0) // an error: the relay has closed it
+			_ = conn.SetLinger(0) // fails if the relay has closed the connection
 		}
 	})
 }
 
-// end ends the connection after calling prepare, unless it has ended.
+// end calls prepare and closes the connection, unless the connection was closed before.
 func (c *endpointConn) end(prepare func()) {
 	c.endOnce.Do(func() {
 		close(c.aborted)
@@ -49,8 +49,8 @@
 	})
 }
 
-// Read reads from the connection. What comes while the machine is cut off does not reach the endpoint: the read waits
-// for the end of the connection.
+// Read reads from the connection. Data that arrives while the machine is cut off does not reach the endpoint: Read
+// discards the data and waits until the connection is closed.
 func (c *endpointConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.readDone = c.readDone || err != nil
@@ -63,27 +63,27 @@
 
 // serve answers the calls of the connection until it ends.
 func (c *endpointConn) serve() {
-	relayLeft := make(chan struct{}) // closed when the relay ends the connection or its sending side
+	relayClosed := make(chan struct{}) // closed when the relay closes the connection or its sending side
 	calls := make(chan call)
 	done := make(chan struct{})
 	var reader sync.WaitGroup
 	reader.Go(func() {
-		defer close(relayLeft)
+		defer close(relayClosed)
 		c.readCalls(calls, done)
 	})
 	defer func() {
 		c.endpoint.removeConnection(c)
 		close(done)
-		c.end(func() {}) // ends the reader, also one that waits because the machine is cut off
+		c.end(func() {}) // stops the reader, even one that waits because the machine is cut off
 		reader.Wait()
 	}()
 	for {
 		select {
 		case received := <-calls:
-			if !c.answer(received, relayLeft) {
+			if !c.answer(received, relayClosed) {
 				return
 			}
-		case <-relayLeft:
+		case <-relayClosed:
 			return
 		case <-c.aborted:
 			return
@@ -91,7 +91,7 @@
 	}
 }
 
-// readCalls reads calls until the connection ends, which it is the first to notice.
+// readCalls reads calls and sends them to the channel calls. It returns when the connection ends or done is closed.
 func (c *endpointConn) readCalls(calls chan<- call, done <-chan struct{}) {
 	reader := bufio.NewReader(c)
 	keepAlive := c.endpoint.world.settings.KeepAliveTimeout.AsDuration() + keepAliveGrace
@@ -114,10 +114,10 @@
 }
 
 func (c *endpointConn) setReadDeadline(deadline time.Time) {
-	_ = c.SetReadDeadline(deadline) // an error shows at the next read
+	_ = c.SetReadDeadline(deadline) // if this fails, the next read fails, too
 }
 
-// readCall reads and records one call whose first byte has come.
+// readCall reads and records one call, the first byte of which has arrived.
 func (c *endpointConn) readCall(reader *bufio.Reader) (call, error) {
 	world := c.endpoint.world
 	event := eventlog.Event{
@@ -129,7 +129,7 @@
 	}
 	request, body, err := readRequest(reader)
 	if err != nil {
-		if !c.readDone { // what is cut short need not be readable
+		if !c.readDone { // the call was not cut short: it is malformed
 			c.endpoint.recordInvalid(c.relay, fmt.Sprintf("unreadable call: %v", err))
 		}
 		event.Kind = eventlog.CallTruncated
@@ -154,7 +154,7 @@
 	return request, body, err
 }
 
-// nextCall returns the number of the next call.
+// nextCall returns the number of a new call, counted from 1.
 func (w *World) nextCall() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,14 +162,14 @@
 	return w.lastCall
 }
 
-// answer answers a call. It reports whether the connection goes on.
-func (c *endpointConn) answer(received call, relayLeft <-chan struct{}) bool {
+// answer answers a call. It reports whether the connection can carry further calls.
+func (c *endpointConn) answer(received call, relayClosed <-chan struct{}) bool {
 	world := c.endpoint.world
 	answer := c.decide(received)
 	if answer.holdsSlot {
 		defer world.releaseSlot(c.relay)
 	}
-	if cause := c.awaitAnswer(received, answer, relayLeft); cause != "" {
+	if cause := c.awaitAnswer(received, answer, relayClosed); cause != "" {
 		world.events.Add(eventlog.Event{
 			Kind:     eventlog.CallAborted,
 			Call:     received.number,
@@ -192,8 +192,9 @@
 	return err == nil
 }
 
-// awaitAnswer waits until the answer is due. It returns the cause why there is none, "" if it can be sent.
-func (c *endpointConn) awaitAnswer(received call, answer answer, relayLeft <-chan struct{}) (cause string) {
+// awaitAnswer waits until the answer is due. It returns "" if the answer can be sent, and otherwise the side that ended
+// the connection: CauseRelay or CauseEndpoint.
+func (c *endpointConn) awaitAnswer(received call, answer answer, relayClosed <-chan struct{}) (cause string) {
 	var due <-chan time.Time
 	if !answer.silent {
 		timer := time.NewTimer(answer.latency - (c.endpoint.world.events.Now() - received.receivedAt))
@@ -202,7 +203,7 @@
 	}
 	select {
 	case <-due:
-	case <-relayLeft:
+	case <-relayClosed:
 		return eventlog.CauseRelay
 	case <-c.aborted:
 		return eventlog.CauseEndpoint
@@ -217,7 +218,8 @@
 	return ""
 }
 
-// resolveDelivered resolves the messages that a call delivers. It reports whether the machine is on the network.
+// resolveDelivered marks the messages that a call delivers as resolved. If the endpoint's machine is cut off, it does
+// nothing and returns false.
 func (e *Endpoint) resolveDelivered(received call, answer answer) bool {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
--- a/internal/testkit/fake/harness_test.go
+++ b/internal/testkit/fake/harness_test.go
@@ -54,7 +54,7 @@
 	testService = "d1"
 )
 
-// harness is a world with the endpoints that its plan has at the start, and the record of its events.
+// harness is a World with the initial endpoints of a plan, and the writer that records its events.
 type harness struct {
 	*World
 	t      testing.TB
@@ -67,7 +67,8 @@
 	return newHarnessWith(t, "")
 }
 
-// newHarnessWith adds tables to the test's scenario, before its own.
+// newHarnessWith returns a harness whose scenario has additional TOML tables. They come before the kind and destination
+// of testScenario, so an added destination becomes d1.
 func newHarnessWith(t testing.TB, tables string) *harness {
 	t.Helper()
 	text := strings.Replace(testScenario, "[settings]", tables+"\n[settings]", 1)
@@ -96,7 +97,7 @@
 // firstEndpoint returns the first endpoint of the plan.
 func (h *harness) firstEndpoint() *Endpoint { return h.Endpoint(h.plan.Endpoints[0].ID) }
 
-// register registers messages that are due in 5 seconds.
+// register registers messages whose deadline is in 5 seconds.
 func (h *harness) register(ids ...string) {
 	for _, id := range ids {
 		h.RegisterMessage(id, time.Now().Add(5*time.Second))
@@ -135,7 +136,7 @@
 	}
 }
 
-// send sends text as it is.
+// send writes text to a connection unchanged.
 func (h *harness) send(conn net.Conn, text string) {
 	h.t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -149,7 +150,7 @@
 	h.send(conn, request)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		h.t.Fatalf("%.40q: %v", request, err)
+		h.t.Fatalf("no response to %.40q: %v", request, err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -159,15 +160,15 @@
 	return response
 }
 
-// expectStatus makes a call with a message and checks the status of the response.
+// expectStatus makes a call with one message and checks the status of the response.
 func (h *harness) expectStatus(conn net.Conn, id string, want int) {
 	h.t.Helper()
 	if response := h.call(conn, callText(id)); response.StatusCode != want {
-		h.t.Errorf("%s: status %d, want %d", id, response.StatusCode, want)
+		h.t.Errorf("call with message %s: status %d, want %d", id, response.StatusCode, want)
 	}
 }
 
-// callText returns a call with one message.
+// callText returns the HTTP request of a call with one message.
 func callText(id string) string {
 	return postText("/events", "X-Trace-Id: "+id+"\r\n", "body")
 }
@@ -177,7 +178,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, header, len(body), body)
 }
 
-// waitFor waits for an event of a kind that matches, and returns it.
+// waitFor waits until a matching event of a kind is recorded, and returns the event.
 func (h *harness) waitFor(kind eventlog.Kind, matches func(eventlog.Event) bool) eventlog.Event {
 	h.t.Helper()
 	for end := time.Now().Add(nettest.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -185,11 +186,11 @@
 			return event
 		}
 	}
-	h.t.Fatalf("never recorded: %s", kind)
+	h.t.Fatalf("no matching event of kind %q was recorded within %v", kind, nettest.Patience)
 	return eventlog.Event{}
 }
 
-// find returns the first event of a kind that matches, if there is one.
+// find returns the first matching event of a kind, if there is one.
 func (h *harness) find(kind eventlog.Kind, matches func(eventlog.Event) bool) (eventlog.Event, bool) {
 	events := h.events.Snapshot()
 	i := slices.IndexFunc(events, func(e eventlog.Event) bool { return e.Kind == kind && matches(e) })
@@ -201,17 +202,17 @@
 
 func anyEvent(eventlog.Event) bool { return true }
 
-// withMessage matches events of a call whose first message has an id.
+// withMessage matches events of calls whose first message has the given id.
 func withMessage(id string) func(eventlog.Event) bool {
 	return func(e eventlog.Event) bool { return len(e.IDs) > 0 && e.IDs[0] == id }
 }
 
-// withState matches events with a state.
+// withState matches events with the given state.
 func withState(state string) func(eventlog.Event) bool {
 	return func(e eventlog.Event) bool { return e.State == state }
 }
 
-// withCause matches events with a cause.
+// withCause matches events with the given cause.
 func withCause(cause string) func(eventlog.Event) bool {
 	return func(e eventlog.Event) bool { return e.Cause == cause }
 }
--- a/internal/testkit/fake/message.go
+++ b/internal/testkit/fake/message.go
@@ -5,12 +5,12 @@
 // finalNoticeGrace is how long after its deadline a message may still be resolved.
 const finalNoticeGrace = 400 * time.Millisecond
 
-// message is a message that a client submitted.
+// message is the state of a message that a client submitted.
 type message struct {
 	deadline  time.Time
-	attempts  int
-	withdrawn bool
-	resolved  bool
+	attempts  int  // calls with this message so far
+	withdrawn bool // see WithdrawMessage
+	resolved  bool // see ResolveMessage
 }
 
 // RegisterMessage registers a message that a client is about to submit.
@@ -20,7 +20,7 @@
 	w.messages[id] = &message{deadline: deadline}
 }
 
-// WithdrawMessage marks a message whose client left without an answer: the relay need not resolve it.
+// WithdrawMessage marks a message as withdrawn: its client got no answer, and the relay need not resolve it.
 func (w *World) WithdrawMessage(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// ResolveMessage marks a message that has its end: it was delivered, its client was rejected, or the platform has a
+// ResolveMessage marks a message as resolved: it was delivered, its submission was rejected, or the platform received a
 // notice of it.
 func (w *World) ResolveMessage(id string) {
 	w.mu.Lock()
@@ -44,7 +44,8 @@
 	}
 }
 
-// UnresolvedMessages returns how many messages are neither withdrawn nor resolved, and may still be.
+// UnresolvedMessages returns how many messages are neither withdrawn nor resolved. Messages that are past their
+// deadline by finalNoticeGrace are not counted, since they can no longer be resolved.
 func (w *World) UnresolvedMessages() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,15 +59,16 @@
 	return unresolved
 }
 
-// The states of messages in the answer to a batch. A message without a state may be delivered.
+// States of messages in the answer to a batch. Until a service has handled the call, a message that may be delivered
+// has the empty state.
 const (
 	messageDelivered = "ok"
 	messageGone      = "gone"      // withdrawn, or past its deadline
-	messageExhausted = "exhausted" // it had all attempts that the settings allow
+	messageExhausted = "exhausted" // it already had as many attempts as the settings allow
 )
 
-// countAttempts counts an attempt for each message of a call. It returns their states and how many may be delivered, or
-// false if a message is unknown. The caller holds mu.
+// countAttempts counts an attempt for each message of a call. It returns the states of the messages and how many of
+// them may be delivered. known is false if a message was not registered. The caller holds mu.
 func (w *World) countAttempts(ids []string) (states []string, deliverable int, known bool) {
 	states = make([]string, len(ids))
 	for i, id := range ids {
--- a/internal/testkit/fake/port.go
+++ b/internal/testkit/fake/port.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// anyLoopbackAddr is a free port of the loopback interface.
+	// anyLoopbackAddr is the address to listen on for any free port of the loopback interface.
 	anyLoopbackAddr = "127.0.0.1:0"
-	// listenTimeout bounds the retries of an address that was in use a moment ago.
+	// listenTimeout bounds how long listening on an address that is still in use is retried.
 	listenTimeout = 2 * time.Second
 	// listenRetryInterval is the pause after a failed listen or accept.
 	listenRetryInterval = 5 * time.Millisecond
-	// maxQueuedConnections bounds the connections that fill the queue of a blocked port.
+	// maxQueuedConnections bounds the connections that block opens to fill the accept queue of a port.
 	maxQueuedConnections = 16
-	// queueDialTimeout is how long a connection takes at most that still finds a place in the queue.
+	// queueDialTimeout bounds the time to open one of these connections. A timeout means that the queue is full.
 	queueDialTimeout = 40 * time.Millisecond
 	// noSocket is the value of a descriptor that is not open.
 	noSocket = -1
 )
 
-// errNotBlocked means that connections to a blocked port still come up.
+// errNotBlocked means that a port still accepts connections after an attempt to block it.
 var errNotBlocked = errors.New("connections still come up")
 
-// port is an address that accepts connections, refuses them, or lets none come up.
+// port is an address that accepts connections, refuses them, or leaves attempts to connect unanswered.
 type port struct {
 	addr string
 
 	mu       sync.Mutex // guards the fields below
-	changed  sync.Cond  // with mu: when connections may be accepted again, or the port is closed
+	changed  sync.Cond  // uses mu; signals that the port accepts connections again or is closed
 	listener *net.TCPListener
-	reserved int // a socket that keeps the address while nothing listens; noSocket: none
+	reserved int // a socket that reserves the address while nothing listens; noSocket: none
 	blocked  bool
 	queued   []net.Conn // the connections that fill the queue of a blocked port
 	closed   bool
@@ -53,7 +53,8 @@
 	return p, nil
 }
 
-// listen opens the listener. The caller holds mu, or is the only one to have the port.
+// listen opens the listener. If the address is in use, it retries until listenTimeout. The caller holds mu, unless no
+// other goroutine uses the port yet.
 func (p *port) listen() error {
 	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
 		listener, err := net.Listen("tcp", p.addr)
@@ -86,7 +87,7 @@
 	}
 }
 
-// awaitListener waits until the port accepts connections; false if it is closed.
+// awaitListener waits until the port accepts connections and returns its listener; false if the port is closed.
 func (p *port) awaitListener() (*net.TCPListener, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +97,7 @@
 	return p.listener, !p.closed
 }
 
-// refuse makes the port refuse connections. It keeps the address: no other socket can get it meanwhile.
+// refuse makes the port refuse connections. The address stays reserved, so that no other socket is assigned it.
 func (p *port) refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,10 +108,10 @@
 	p.stopListening()
 	if socket, _, err := bind(p.addr); err == nil {
 		p.reserved = socket
-	} // else the port refuses connections all the same, but the address is free for others
+	} // on error, the port still refuses connections, but other sockets may be assigned its address
 }
 
-// release gives up the address for the one that listens on it next.
+// release closes a port that refuses connections, so that another port can listen on its address.
 func (p *port) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +136,8 @@
 	return p.listen()
 }
 
-// block makes connections to the port not come up. Linux drops them if the queue of a listener is full: the queue is
-// made as short as possible, and filled.
+// block makes the port leave attempts to connect unanswered. Linux drops such attempts while the accept queue of a
+// listener is full, so block makes the queue as short as possible and fills it.
 func (p *port) block() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +145,7 @@
 		return nil
 	}
 	p.blocked = true
-	if err := p.listener.SetDeadline(time.Unix(1, 0)); err != nil { // ends the accept that waits
+	if err := p.listener.SetDeadline(time.Unix(1, 0)); err != nil { // ends an Accept that is waiting
 		return fmt.Errorf("block %s: %w", p.addr, err)
 	}
 	if err := p.setQueueLength(0); err != nil {
@@ -160,7 +161,7 @@
 	return fmt.Errorf("block %s: %w", p.addr, errNotBlocked)
 }
 
-// unblock ends block. The caller holds mu.
+// unblock undoes block, if the port is blocked. The caller holds mu.
 func (p *port) unblock() {
 	if !p.blocked {
 		return
@@ -171,13 +172,13 @@
 	}
 	p.queued = nil
 	if p.listener != nil {
-		_ = p.setQueueLength(syscall.SOMAXCONN) // an error: the queue is short, and clients try again
-		_ = p.listener.SetDeadline(time.Time{}) // an error shows at the next accept
+		_ = p.setQueueLength(syscall.SOMAXCONN) // on error, the queue stays short, and clients retry
+		_ = p.listener.SetDeadline(time.Time{}) // on error, the next Accept fails
 	}
 	p.changed.Broadcast()
 }
 
-// setQueueLength sets the number of connections that may wait to be accepted. The caller holds mu.
+// setQueueLength sets how many connections may wait in the accept queue. The caller holds mu.
 func (p *port) setQueueLength(length int) error {
 	raw, err := p.listener.SyscallConn()
 	if err != nil {
@@ -209,7 +210,7 @@
 	}
 }
 
-// closeReserved closes the socket that keeps the address. The caller holds mu.
+// closeReserved closes the socket that reserves the address, if it is open. The caller holds mu.
 func (p *port) closeReserved() {
 	if p.reserved != noSocket {
 		closeSocket(p.reserved)
@@ -217,8 +218,8 @@
 	}
 }
 
-// ReserveAddress keeps an address, such as 127.0.0.1:0, for a process that will listen on it, also while that process
-// restarts. Until release is called, connections to the address are refused while nothing listens.
+// ReserveAddress reserves an address, such as 127.0.0.1:0, for a process that will listen on it, even while that
+// process restarts. Until release is called, connections to the address are refused whenever no process listens on it.
 func ReserveAddress(addr string) (reserved string, release func(), err error) {
 	socket, reserved, err := bind(addr)
 	if err != nil {
@@ -227,8 +228,9 @@
 	return reserved, sync.OnceFunc(func() { closeSocket(socket) }), nil
 }
 
-// bind binds a socket that does not listen. Connections to its address are refused, it is not given to sockets that ask
-// for any address, and whoever asks for it may listen on it.
+// bind binds a socket that does not listen. Connections to its address are refused, and the system does not assign the
+// address to sockets that ask for any free port. A socket that asks for this address can still listen on it, since
+// SO_REUSEADDR is set.
 func bind(addr string) (socket int, bound string, err error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
@@ -246,7 +248,7 @@
 	return socket, bound, nil
 }
 
-// bindSocket binds a socket to an address, and returns the address with its port.
+// bindSocket binds a socket to an address, and returns the address with the assigned port.
 func bindSocket(socket int, addr *net.TCPAddr) (bound string, err error) {
 	sockaddr := &syscall.SockaddrInet4{Port: addr.Port}
 	copy(sockaddr.Addr[:], addr.IP.To4())
@@ -268,10 +270,10 @@
 }
 
 func closeSocket(socket int) {
-	_ = syscall.Close(socket) // an error loses nothing: the socket never had a connection
+	_ = syscall.Close(socket) // an error does no harm: the socket never had a connection
 }
 
-// discard closes something that is not needed any more.
+// discard closes c, which is no longer needed, and ignores the error.
 func discard(c io.Closer) {
-	_ = c.Close() // an error: it was closed already, or its peer has left
+	_ = c.Close() // fails only if c was closed already or its peer has disconnected
 }
--- a/internal/testkit/fake/port_test.go
+++ b/internal/testkit/fake/port_test.go
@@ -9,7 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// A reserved address refuses connections, is not given to sockets that ask for any, and to those that ask for it.
+// A reserved address refuses connections, but a process that asks for the address can listen on it, and so can its
+// successor. The address of a listener cannot be reserved.
 func TestReserveAddress(t *testing.T) {
 	addr, release, err := ReserveAddress(anyLoopbackAddr)
 	if err != nil {
@@ -17,13 +18,13 @@
 	}
 	defer release()
 	expectRefused(t, addr)
-	for range 2 { // a relay, and its successor
+	for range 2 { // a relay and its successor
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := ReserveAddress(addr); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("reserved the address of a listener: %v", err)
+			t.Errorf("reserving the address of a listener: %v, want %v", err, syscall.EADDRINUSE)
 		}
 		nettest.Close(listener)
 	}
--- a/internal/testkit/fake/service.go
+++ b/internal/testkit/fake/service.go
@@ -12,12 +12,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
-// service is the model of a destination, or of an endpoint with limits of its own, and its faults.
+// service is a destination, or an endpoint with its own limits: the model of its behaviour, and its current faults.
 type service struct {
 	model       *upstream.Service
 	name        string
 	destination int
-	outageCause string  // "": it is in service
+	outageCause string  // an Outage constant of package eventlog; "": no outage
 	slowdown    float64 // factor on service times; 1: none
 }
 
@@ -35,13 +35,14 @@
 	return w.updateService(name, func(s *service) { s.model.SetLimitDivisor(divisor) })
 }
 
-// SetResponseLossRatio makes a ratio of the answers of a service get lost; 0 ends the fault.
+// SetResponseLossRatio sets the ratio of a service's answers that are lost; 0 ends the fault.
 func (w *World) SetResponseLossRatio(name string, ratio float64) error {
 	return w.updateService(name, func(s *service) { s.model.SetResponseLossRatio(ratio) })
 }
 
-// StartOutage starts an outage of a service. The ratio is that of failing calls, the duration what Retry-After refers
-// to. An outage during another one has no effect of its own: the end of the first ends both.
+// StartOutage starts an outage of a service. failureRatio is the ratio of calls that OpFailCalls makes fail. duration
+// determines the Retry-After of OpSuspend. An outage that starts during another one has no effect, and the first
+// EndOutage ends both.
 func (w *World) StartOutage(name string, op scenario.Op, failureRatio float64, duration time.Duration) error {
 	var affected []*Endpoint
 	err := w.updateService(name, func(s *service) {
@@ -78,7 +79,7 @@
 	return err
 }
 
-// EndOutage ends the outage of a service, which recovers and warms up unless it is overloaded.
+// EndOutage ends the outage of a service. Unless the service is overloaded, it recovers and warms up.
 func (w *World) EndOutage(name string) error {
 	var recovered []*Endpoint
 	var cause string
@@ -110,7 +111,7 @@
 	s.model.Resume()
 	s.model.SetSilent(false)
 	if len(endpoints) == 0 {
-		return // all of them were replaced meanwhile
+		return // all endpoints of the service have stopped
 	}
 	warmUp := s.model.Recover(w.events.Now())
 	w.events.Add(eventlog.Event{
@@ -125,7 +126,7 @@
 	w.recordCapacity(s, warmUp.InitialCapacity, warmUp.Duration)
 }
 
-// updateService calls update with a service, under mu.
+// updateService finds a service by its name and calls update with it, while holding mu.
 func (w *World) updateService(name string, update func(*service)) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,8 +138,8 @@
 	return nil
 }
 
-// recordCapacity records what each endpoint of a service can serve from now on: a ratio of its capacity at first, and
-// all of it when it is warm. The caller holds mu.
+// recordCapacity records the capacity of each endpoint of a service: initialRatio of its full capacity now, and all of
+// it after the warm-up. The capacity is 0 during an outage or overload. The caller holds mu.
 func (w *World) recordCapacity(s *service, initialRatio float64, warmUp time.Duration) {
 	rate := s.model.EndpointCapacity() / s.slowdown
 	if s.outageCause != "" || s.model.Overloaded() {
@@ -156,7 +157,7 @@
 	}
 }
 
-// runningEndpoints returns the endpoints of a service that have not stopped, by id. The caller holds mu.
+// runningEndpoints returns the endpoints of a service that have not stopped, sorted by id. The caller holds mu.
 func (w *World) runningEndpoints(s *service) []*Endpoint {
 	var endpoints []*Endpoint
 	for _, e := range w.endpoints {
@@ -176,7 +177,8 @@
 	return ids
 }
 
-// handleCall passes a call to the model of a service, and records if the call overloaded it. The caller holds mu.
+// handleCall passes a call to the model of the endpoint's service. If the call overloads the service, it records the
+// overload. The caller holds mu.
 func (w *World) handleCall(e *Endpoint, messages int) upstream.Response {
 	response := e.service.model.HandleCall(w.events.Now(), e.spec.ID, messages)
 	if response.CausedOverload {
--- a/internal/testkit/fake/world.go
+++ b/internal/testkit/fake/world.go
@@ -1,5 +1,6 @@
-// Package fake has fakes of what surrounds a relay: endpoints, discovery agents and clients. They speak the platform's
-// protocol on loopback sockets and record what they observe. Package upstream determines what becomes of a call.
+// Package fake provides fakes of the systems around a relay: endpoints, discovery agents and clients. They implement
+// the platform's protocol on loopback sockets and record events in an event log. Package upstream determines how a
+// service responds to a call.
 package fake
 
 import (
@@ -14,7 +15,7 @@
 type World struct {
 	events     *eventlog.Writer
 	settings   scenario.Settings
-	relays     []string
+	relays     []string // names
 	goroutines sync.WaitGroup
 
 	mu          sync.Mutex // guards the fields below, and the state of services and endpoints
@@ -22,11 +23,11 @@
 	endpoints   map[string]*Endpoint
 	messages    map[string]*message
 	activeCalls map[string]int // by relay
-	lastCall    uint64
+	lastCall    uint64         // number of the newest call
 	closed      bool
 }
 
-// NewWorld returns a world with the services of a plan and without endpoints.
+// NewWorld returns a World with the services of a plan and without endpoints.
 func NewWorld(plan scenario.Plan, events *eventlog.Writer) *World {
 	w := &World{
 		events:      events,
@@ -62,13 +63,13 @@
 	for _, e := range w.close() {
 		e.Stop()
 		for _, p := range e.ports {
-			p.close() // also those that refuse connections for endpoints that stopped before
+			p.close() // also the ports of endpoints that had stopped already
 		}
 	}
 	w.goroutines.Wait()
 }
 
-// close makes the world accept no more connections, and returns all endpoints.
+// close makes all endpoints accept no more connections, and returns the endpoints.
 func (w *World) close() []*Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
