--- a/internal/testkit/faultproxy/bench_test.go
+++ b/internal/testkit/faultproxy/bench_test.go
@@ -34,7 +34,8 @@
 	h.client, h.server = client, server
 }
 
-// The proxy's latency is the difference to the direct connection of the same run.
+// BenchmarkRoundTrip measures round trips through the proxy and without it. The latency of the proxy is the difference
+// to the direct connection in the same run.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, test := range []struct {
 		name    string
@@ -51,7 +52,7 @@
 			test.connect(h)
 			h.setDeadlines(time.Time{})
 			var echo sync.WaitGroup
-			echo.Go(func() { _, _ = io.Copy(h.server, h.server) }) // an error shows at the client
+			echo.Go(func() { _, _ = io.Copy(h.server, h.server) }) // on error, the client fails
 			buffer := make([]byte, 200)
 			for b.Loop() {
 				if _, err := h.client.Write(buffer); err != nil {
@@ -77,7 +78,7 @@
 			h.setDeadlines(time.Time{})
 			b.SetBytes(chunkSize)
 			var reader sync.WaitGroup
-			reader.Go(func() { _, _ = io.Copy(io.Discard, h.server) }) // an error shows at the client
+			reader.Go(func() { _, _ = io.Copy(io.Discard, h.server) }) // on error, the client fails
 			buffer := make([]byte, chunkSize)
 			for b.Loop() {
 				if _, err := h.client.Write(buffer); err != nil {
--- a/internal/testkit/faultproxy/connection.go
+++ b/internal/testkit/faultproxy/connection.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// dialTimeout bounds the time until a connection to the target is made.
+// dialTimeout bounds the time to connect to the target.
 const dialTimeout = 5 * time.Second
 
-// connection is the connection of a client together with the one to the target that was made for it.
+// connection is a client's connection to the proxy together with the proxy's connection to the target.
 type connection struct {
 	proxy   *Proxy
 	number  int // counted from 1
@@ -20,8 +20,8 @@
 	endOnce sync.Once
 
 	mu     sync.Mutex      // guards the fields below
-	sides  [2]*net.TCPConn // by the direction that is read from each: the client, the target
-	timers []*time.Timer
+	sides  [2]*net.TCPConn // by the direction read from each: Upstream is the client, Downstream the target
+	timers []*time.Timer   // see schedule
 	ended  bool
 }
 
@@ -39,7 +39,8 @@
 	directions.Wait()
 }
 
-// dial connects to the target, and reports whether the connection is up. If it is not, the client sees a reset.
+// dial connects to the target. It returns false if that fails or the connection has ended. If the target cannot be
+// reached, the client's side is reset.
 func (c *connection) dial(ctx context.Context, target string) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -59,13 +60,13 @@
 	return true
 }
 
-// close closes both sides in order (FIN).
+// close closes both sides gracefully (FIN).
 func (c *connection) close() { c.end(func(side *net.TCPConn) { discard(side) }) }
 
 // reset closes both sides with a reset (RST).
 func (c *connection) reset() { c.end(abort) }
 
-// end closes both sides by a function, unless the connection has ended.
+// end closes both sides with closeSide, unless the connection has ended.
 func (c *connection) end(closeSide func(*net.TCPConn)) {
 	c.endOnce.Do(func() {
 		c.cancel()
@@ -83,7 +84,8 @@
 	})
 }
 
-// schedule starts the timer of a rule that ends something after a time alone, whether or not bytes come.
+// schedule starts a timer for a rule that ends a direction or the connection and has After as its only trigger. Such a
+// rule triggers even if no bytes pass. Other rules are ignored.
 func (c *connection) schedule(rule numberedRule) {
 	timeAlone := rule.After > 0 && rule.Offset == 0 && len(rule.Match) == 0
 	if !timeAlone || !rule.Fault.endsDirection() || !rule.appliesTo(c.number) {
@@ -97,7 +99,7 @@
 	c.timers = append(c.timers, time.AfterFunc(rule.After, func() { c.applyEnd(rule) }))
 }
 
-// applyEnd applies a rule that ends one direction or both.
+// applyEnd applies a rule that ends one direction or both directions.
 func (c *connection) applyEnd(rule numberedRule) {
 	c.proxy.ruleTriggered(rule.id)
 	switch rule.Fault {
@@ -110,22 +112,22 @@
 	}
 }
 
-// closeWrite ends one direction of the connection.
+// closeWrite ends one direction of the connection: the side that receives its bytes gets a FIN.
 func (c *connection) closeWrite(direction Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if to := c.sides[1-direction]; to != nil {
-		_ = to.CloseWrite() // an error: that side has ended already
+		_ = to.CloseWrite() // fails if that side was closed already
 	}
 }
 
-// discard closes something that is not needed any more.
+// discard closes c, which is no longer needed, and ignores the error.
 func discard(c io.Closer) {
-	_ = c.Close() // an error: it was closed already, or its peer has left
+	_ = c.Close() // fails only if c was closed already or its peer has disconnected
 }
 
 // abort closes a connection with a reset.
 func abort(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // an error: it was closed already
+	_ = conn.SetLinger(0) // fails only if conn was closed already
 	discard(conn)
 }
--- a/internal/testkit/faultproxy/control.go
+++ b/internal/testkit/faultproxy/control.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// maxCommandLength bounds a line of the control protocol, in bytes.
+	// maxCommandLength bounds a command line of the control protocol, in bytes.
 	maxCommandLength = 16 << 10
 	// maxWait bounds the durations of the commands wait and sleep.
 	maxWait = 10 * time.Minute
-	// defaultWait is how long the command wait waits unless it says so.
+	// defaultWait is how long the command wait waits if its duration argument is omitted.
 	defaultWait = 10 * time.Second
-	// maxControlSessions bounds the connections that are served at once; others wait.
+	// maxControlSessions bounds the control connections served at once. Further connections wait.
 	maxControlSessions = 16
 )
 
-// commands are the commands of the control protocol by name. Each gets the text behind its name and returns the answer.
+// commands are the commands of the control protocol by name. Each receives the text after its name and returns its
+// answer.
 var commands = map[string]func(p *Proxy, ctx context.Context, argument string) (string, error){
 	"add":    (*Proxy).commandAdd,
 	"remove": (*Proxy).commandRemove,
@@ -41,15 +42,15 @@
 
 // Execute executes one line of the control protocol and returns its answer, without "ok". The commands are
 //
-//	add RULE      adds a rule; answers its number
+//	add RULE      adds a rule and returns its number
 //	remove N      removes rule N
 //	clear         removes all rules
-//	list          answers the rules with their numbers
-//	target ADDR   makes new connections go to another address
-//	stats         answers what has passed
-//	struck N      answers how often rule N has triggered
-//	wait N [D]    waits until rule N has triggered, at most 10s or D
-//	sleep D       waits
+//	list          returns the rules with their numbers
+//	target ADDR   sends new connections to another target
+//	stats         returns the counts of connections, bytes and triggered rules
+//	struck N      returns how often rule N has triggered
+//	wait N [D]    waits until rule N has triggered, at most for the duration D (default 10s)
+//	sleep D       waits for the duration D
 func (p *Proxy) Execute(ctx context.Context, line string) (string, error) {
 	name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
 	execute, ok := commands[name]
@@ -156,8 +157,8 @@
 	return id, nil
 }
 
-// RunScript executes commands, one a line, until one fails. It ignores blank lines and those that begin with #, and
-// passes each line with its answer to report.
+// RunScript executes the commands of a script, one per line, until one fails. It ignores blank lines and lines that
+// begin with #, and passes every other line with its answer to report.
 func (p *Proxy) RunScript(ctx context.Context, script io.Reader, report func(line, answer string)) error {
 	lines := bufio.NewScanner(script)
 	lines.Buffer(nil, maxCommandLength)
@@ -175,8 +176,8 @@
 	return lines.Err()
 }
 
-// ServeControl serves the control protocol on a listener until ctx ends: one command a line, answered by the lines of
-// its answer and "ok", or by "error: " and the reason. It closes the listener.
+// ServeControl serves the control protocol on a listener until ctx ends, and closes the listener. A client sends one
+// command per line. It receives the lines of the answer and "ok", or "error: " and the reason.
 func (p *Proxy) ServeControl(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { discard(listener) })
 	defer stop()
@@ -218,7 +219,7 @@
 	}
 }
 
-// formatAnswer returns the lines that answer a command.
+// formatAnswer returns the lines sent in response to a command.
 func formatAnswer(answer string, err error) string {
 	switch {
 	case err != nil:
--- a/internal/testkit/faultproxy/control_test.go
+++ b/internal/testkit/faultproxy/control_test.go
@@ -31,7 +31,7 @@
 	return &controlClient{t: t, conn: conn, lines: bufio.NewReader(conn)}
 }
 
-// command sends a command and checks the lines of its answer.
+// command sends a command and checks the lines that it receives in response.
 func (c *controlClient) command(line string, want ...string) {
 	c.t.Helper()
 	if _, err := fmt.Fprintln(c.conn, line); err != nil {
@@ -39,7 +39,7 @@
 	}
 	for _, wanted := range want {
 		if got, err := c.lines.ReadString('\n'); err != nil || strings.TrimSpace(got) != wanted {
-			c.t.Fatalf("%s: %q, %v; want %q", line, got, err, wanted)
+			c.t.Fatalf("response to %q: %q, %v; want %q", line, got, err, wanted)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	client.command("clear", "ok")
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("ServeControl returned %v after its context ended", err)
 	}
 }
 
@@ -84,9 +84,9 @@
 		answers = append(answers, line+": "+answer)
 	})
 	if err == nil || !strings.Contains(err.Error(), "line 6") {
-		t.Error(err)
+		t.Errorf("RunScript returned %v, want an error in line 6", err)
 	}
 	if len(answers) != 3 || answers[2] != "list: 1 dir=up do=refuse" {
-		t.Error(answers)
+		t.Errorf("answers %q, want three, the last one the list of rules", answers)
 	}
 }
--- a/internal/testkit/faultproxy/datagramproxy.go
+++ b/internal/testkit/faultproxy/datagramproxy.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// maxDatagramSize is the size of read buffers; UDP has no larger datagrams.
+	// maxDatagramSize is the size of read buffers, in bytes. UDP datagrams are not larger.
 	maxDatagramSize = 64 << 10
-	// maxDatagramSessions bounds the senders that are told apart. The oldest one is forgotten for a new one.
+	// maxDatagramSessions bounds the sessions. When it is reached, a new sender's session replaces the oldest one.
 	maxDatagramSessions = 64
-	// maxDatagramsInFlight bounds the delayed datagrams of one direction. More are dropped.
+	// maxDatagramsInFlight bounds the delayed datagrams of one direction. Any further ones are dropped.
 	maxDatagramsInFlight = 4096
-	// reorderDelay is how much later a datagram arrives that those behind it overtake.
+	// reorderDelay is the extra delay of a reordered datagram, during which later datagrams overtake it.
 	reorderDelay = 30 * time.Millisecond
 	// datagramRandomStream is the second half of the generator's seed: "udp" in ASCII.
 	datagramRandomStream = 0x756470
 )
 
-// DatagramFaults are the faults of one direction. Each ratio is of all datagrams, and drawn for each datagram.
+// DatagramFaults are the faults of one direction. Each ratio is the probability that a datagram has the fault, drawn
+// separately for each datagram.
 type DatagramFaults struct {
-	DropRatio      float64       // never arrive; 1: all
-	DuplicateRatio float64       // arrive twice
-	ReorderRatio   float64       // arrive 30 ms later, behind those that follow
+	DropRatio      float64       // the datagram never arrives
+	DuplicateRatio float64       // the datagram arrives twice
+	ReorderRatio   float64       // the datagram arrives 30 ms later, behind datagrams that were sent after it
 	Delay          time.Duration // of every datagram
-	Jitter         time.Duration // up to this much more delay
-	BytesPerSecond int           // more is queued; 0: no limit
+	Jitter         time.Duration // upper bound of a random additional delay
+	BytesPerSecond int           // rate limit; datagrams above it are queued; 0: no limit
 }
 
 // Validate returns an error if a value is out of range.
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// DatagramProxy accepts UDP datagrams and sends them on to its target, and the target's answers back to the sender.
+// DatagramProxy forwards UDP datagrams to its target, and the target's answers back to their sender.
 type DatagramProxy struct {
 	conn       *net.UDPConn
 	target     *net.UDPAddr
@@ -55,26 +56,27 @@
 	mu         sync.Mutex // guards the fields below
 	directions [2]datagramDirection
 	random     *rand.Rand
-	sessions   []*datagramSession // oldest first
+	sessions   []*datagramSession // one for each sender, oldest first
 	closed     bool
 }
 
 // datagramDirection is the state of one direction.
 type datagramDirection struct {
 	faults   DatagramFaults
-	idleAt   time.Time // when the rate limit has let all queued datagrams pass
+	idleAt   time.Time // when all datagrams that the rate limit has queued will have passed
 	inFlight int       // delayed datagrams
 	passed   int
 	dropped  int
 }
 
-// datagramSession is the socket that the datagrams of one sender leave through.
+// datagramSession is the socket through which the proxy forwards the datagrams of one sender.
 type datagramSession struct {
 	sender *net.UDPAddr
 	conn   *net.UDPConn
 }
 
-// StartDatagramProxy listens on addr for datagrams to target. The seed determines which datagrams suffer faults.
+// StartDatagramProxy starts a proxy that listens on addr and forwards datagrams to target. The seed determines which
+// datagrams have faults.
 func StartDatagramProxy(addr, target string, seed uint64) (*DatagramProxy, error) {
 	listenAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -100,7 +102,7 @@
 // Addr returns the address that the proxy listens on.
 func (p *DatagramProxy) Addr() string { return p.conn.LocalAddr().String() }
 
-// SetFaults sets the faults of one direction from now on.
+// SetFaults replaces the faults of one direction. It applies to datagrams that arrive from now on.
 func (p *DatagramProxy) SetFaults(direction Direction, faults DatagramFaults) error {
 	if err := faults.Validate(); err != nil {
 		return err
@@ -112,7 +114,8 @@
 	return nil
 }
 
-// Counts returns how many datagrams of a direction were sent on, each counted once, and how many were dropped.
+// Counts returns how many datagrams of a direction have passed and how many were dropped. A duplicated datagram counts
+// once. A delayed datagram counts as passed from the start.
 func (p *DatagramProxy) Counts(direction Direction) (passed, dropped int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +147,7 @@
 		}
 		if session := p.session(sender); session != nil {
 			p.forward(Upstream, buffer[:n], func(data []byte) {
-				_, _ = session.conn.Write(data) // an error: the datagram is lost, as on a network
+				_, _ = session.conn.Write(data) // on error, the datagram is lost, as on a network
 			})
 		}
 	}
@@ -161,12 +164,13 @@
 			continue // an ICMP error about an earlier datagram
 		}
 		p.forward(Downstream, buffer[:n], func(data []byte) {
-			_, _ = p.conn.WriteToUDP(data, session.sender) // an error: the datagram is lost, as on a network
+			_, _ = p.conn.WriteToUDP(data, session.sender) // on error, the datagram is lost, as on a network
 		})
 	}
 }
 
-// session returns the session of a sender, which it opens if need be; nil if it cannot be opened.
+// session returns the session of a sender, and opens one if there is none. It returns nil if the proxy is closed or no
+// socket can be opened.
 func (p *DatagramProxy) session(sender *net.UDPAddr) *datagramSession {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,14 +196,14 @@
 	return session
 }
 
-// delivery is what happens to one datagram.
+// delivery states how one datagram is delivered, according to the faults drawn for it.
 type delivery struct {
 	dropped    bool
 	duplicated bool
 	delay      time.Duration
 }
 
-// forward delivers a datagram by send, with the faults that are drawn for it.
+// forward delivers a datagram by calling send, with the faults drawn for the datagram.
 func (p *DatagramProxy) forward(direction Direction, data []byte, send func([]byte)) {
 	d := p.drawDelivery(direction, len(data))
 	if d.dropped {
@@ -227,13 +231,13 @@
 	})
 }
 
-// drawDelivery determines and counts what happens to a datagram of a size.
+// drawDelivery draws the faults of a datagram of size bytes, and counts the datagram as passed or dropped.
 func (p *DatagramProxy) drawDelivery(direction Direction, size int) delivery {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := &p.directions[direction]
 	faults := state.faults
-	// The order of the draws is fixed: with it, a seed determines what happens to each datagram.
+	// The order of the draws must stay fixed, so that the same seed gives each datagram the same faults.
 	dropped := p.random.Float64() < faults.DropRatio
 	duplicated := p.random.Float64() < faults.DuplicateRatio
 	reordered := p.random.Float64() < faults.ReorderRatio
@@ -258,7 +262,7 @@
 	return delivery{duplicated: duplicated, delay: delay}
 }
 
-// queue queues a datagram of a size for the rate limit, and returns how long that delays it.
+// queue schedules a datagram of size bytes under the rate limit, and returns the resulting delay.
 func (d *datagramDirection) queue(size int, now time.Time) time.Duration {
 	if d.idleAt.Before(now) {
 		d.idleAt = now
--- a/internal/testkit/faultproxy/datagramproxy_test.go
+++ b/internal/testkit/faultproxy/datagramproxy_test.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// sendBatch is how many datagrams are sent without a pause: the buffers of sockets are small.
+	// sendBatch is how many datagrams are sent before waiting until the proxy has read them. The buffers of sockets are
+	// small.
 	sendBatch = 20
-	// quietPeriod is how long after the last datagram no more is expected.
+	// quietPeriod is the time without a datagram after which no further datagram is expected.
 	quietPeriod = 400 * time.Millisecond
 )
 
-// listenUDP opens a UDP socket with as large a buffer as the system allows.
+// listenUDP opens a UDP socket with a large read buffer, as far as the system allows.
 func listenUDP(t *testing.T) (conn *net.UDPConn, addr string) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -63,16 +64,16 @@
 		}
 	}
 	passed, dropped := proxy.Counts(Upstream)
-	return fmt.Errorf("the proxy passed %d and dropped %d of %d datagrams", passed, dropped, want)
+	return fmt.Errorf("the proxy passed %d and dropped %d datagrams, want %d in total", passed, dropped, want)
 }
 
-// receiveNumbers reads numbered datagrams until all are sent and none has come for a while. It returns when the last
-// one came, too.
+// receiveNumbers reads numbered datagrams until all are sent and none has arrived for quietPeriod. lastAt is the time
+// at which the last one arrived.
 func receiveNumbers(t *testing.T, conn *net.UDPConn, allSent <-chan struct{}) (numbers []int, lastAt time.Time) {
 	t.Helper()
 	buffer := make([]byte, 64)
 	for {
-		isLast := isClosed(allSent) // this read, if it times out
+		isLast := isClosed(allSent) // if so, a timeout of this read ends the loop
 		setDeadline(t, conn, time.Now().Add(quietPeriod))
 		n, err := conn.Read(buffer)
 		switch {
@@ -80,7 +81,7 @@
 			numbers = append(numbers, int(binary.BigEndian.Uint32(buffer)))
 			lastAt = time.Now()
 		case err == nil:
-			t.Fatalf("a datagram of %d bytes", n)
+			t.Fatalf("received a datagram of %d bytes, want 4", n)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			t.Fatal(err)
 		case isLast:
@@ -157,13 +158,13 @@
 	}
 }
 
-// datagramTest is what faults do to numbered datagrams.
+// datagramTest states the expected effect of faults on numbered datagrams.
 type datagramTest struct {
 	name                     string
 	faults                   DatagramFaults
 	minReceived, maxReceived int
 	order                    ordering
-	minDuration              time.Duration // until the last one is received
+	minDuration              time.Duration // from the start until the last datagram is received
 }
 
 func (test datagramTest) run(t *testing.T, sent int) {
@@ -198,20 +199,20 @@
 	}
 	sorted := slices.IsSorted(received)
 	if test.order == inOrder && !sorted || test.order == outOfOrder && sorted {
-		t.Error("order:", sorted)
+		t.Errorf("datagrams arrived in order: %t", sorted)
 	}
 	if passed, dropped := proxy.Counts(Upstream); passed+dropped != sent {
-		t.Error(passed, dropped)
+		t.Errorf("passed %d and dropped %d datagrams, want %d in total", passed, dropped, sent)
 	}
 }
 
 func TestDatagramProxyRejectsRatioAboveOne(t *testing.T) {
 	if err := (&DatagramProxy{}).SetFaults(Upstream, DatagramFaults{DropRatio: 2}); err == nil {
-		t.Error("a ratio of 2 is accepted")
+		t.Error("SetFaults accepted a ratio of 2")
 	}
 }
 
-// The answers of a target go back to the sender, also with more senders than the proxy tells apart at once.
+// The target's answers reach their sender, even if there are more senders than maxDatagramSessions.
 func TestDatagramProxyReturnsAnswers(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	target, addr := listenUDP(t)
@@ -233,13 +234,13 @@
 		echoDatagram(t, target)
 		buffer := make([]byte, 8)
 		if size, err := sender.Read(buffer); err != nil || !slices.Equal(buffer[:size], encodeNumber(n)) {
-			t.Errorf("%d: %d bytes, %v", n, size, err)
+			t.Errorf("answer to sender %d: %q, %v; want %q", n, buffer[:size], err, encodeNumber(n))
 		}
 		nettest.Close(sender)
 	}
 }
 
-// echoDatagram sends the next datagram back.
+// echoDatagram sends the next datagram back to its sender.
 func echoDatagram(t *testing.T, conn *net.UDPConn) {
 	t.Helper()
 	buffer := make([]byte, 8)
--- a/internal/testkit/faultproxy/effects.go
+++ b/internal/testkit/faultproxy/effects.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// throttledWritesPerSecond is into how many writes a second a throttled direction is divided.
+	// throttledWritesPerSecond is how many writes a second the data of a throttled direction is divided into.
 	throttledWritesPerSecond = 50
-	// maxDelayedChunks bounds the chunks in a delayed direction. When it is reached, the sender waits.
+	// maxDelayedChunks bounds the chunks in a delay queue. While the queue is full, the proxy does not read from the
+	// sender.
 	maxDelayedChunks = 256
 )
 
 // corruption replaces the next bytes of a direction.
 type corruption struct {
-	remaining   int
+	remaining   int    // bytes still to replace
 	replacement []byte // empty: random bytes, each different from the original
 }
 
-// apply replaces bytes in place.
+// apply replaces the first bytes of data in place.
 func (c *corruption) apply(data []byte, random *rand.Rand) {
 	n := min(c.remaining, len(data))
 	for i := range n {
@@ -35,12 +36,12 @@
 
 // duplication sends the next bytes of a direction a second time.
 type duplication struct {
-	remaining int
-	original  []byte // the bytes to send again, as far as they have come
+	remaining int    // bytes still to arrive
+	original  []byte // the bytes to send again that have arrived so far
 }
 
-// apply returns data with the second copy in it, if the last of the bytes to duplicate has come: all of them pass once
-// before the first of them passes again, however they are divided into reads.
+// apply returns the data to send. If data contains the last of the bytes to duplicate, the second copy of these bytes
+// is inserted after it. The second copy thus follows the complete first one, however the bytes are divided into reads.
 func (d *duplication) apply(data []byte) []byte {
 	n := min(d.remaining, len(data))
 	if n == 0 {
@@ -56,14 +57,15 @@
 	return data
 }
 
-// throttle is the rate limit of a direction. It is safe for concurrent use: a delay queue reads it, too.
+// throttle is the rate limit of a direction. It is safe for concurrent use, since the goroutine of a delay queue reads
+// the limit, too.
 type throttle struct {
 	mu             sync.Mutex
-	bytesPerSecond int
-	until          time.Time // zero: without end
+	bytesPerSecond int       // 0: no limit
+	until          time.Time // zero: the limit does not expire
 }
 
-// set sets the limit, for a time or, if that is 0, without end.
+// set sets the limit for a duration; 0: the limit does not expire.
 func (t *throttle) set(bytesPerSecond int, duration time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// rate returns the limit in force, in bytes a second; 0: none.
+// rate returns the limit in force, in bytes a second; 0: no limit.
 func (t *throttle) rate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +86,7 @@
 	return t.bytesPerSecond
 }
 
-// delayQueue holds the bytes of a direction until they are due. Its goroutine writes them.
+// delayQueue holds the bytes of a direction until they are due. Its own goroutine then writes them.
 type delayQueue struct {
 	stream  *stream
 	delay   time.Duration
@@ -92,6 +94,7 @@
 	drained chan struct{} // closed when the goroutine ends
 }
 
+// delayedChunk is data with the time to write it.
 type delayedChunk struct {
 	dueAt time.Time
 	data  []byte
@@ -107,7 +110,8 @@
 	return q
 }
 
-// run writes each chunk when it is due, until the queue is closed.
+// run writes each chunk when it is due, until the queue is closed. If the connection ends, it discards the remaining
+// chunks.
 func (q *delayQueue) run() {
 	defer close(q.drained)
 	writing := true
@@ -116,7 +120,7 @@
 	}
 }
 
-// add queues a copy of data. It reports whether the connection has not ended.
+// add queues a copy of data. It returns false if the connection has ended.
 func (q *delayQueue) add(data []byte) bool {
 	select {
 	case q.chunks <- delayedChunk{dueAt: time.Now().Add(q.delay), data: slices.Clone(data)}:
@@ -127,7 +131,8 @@
 	}
 }
 
-// close waits until all chunks are written, or the connection has ended. It is called once.
+// close closes the queue and waits until all chunks are written or the connection has ended. It must be called only
+// once.
 func (q *delayQueue) close() {
 	close(q.chunks)
 	<-q.drained
--- a/internal/testkit/faultproxy/harness_test.go
+++ b/internal/testkit/faultproxy/harness_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// harness is a proxy with a target, and the two ends of the connection that was made last through it.
+// harness is a proxy with a target, and the two ends of the newest connection through the proxy.
 type harness struct {
 	*Proxy
 	t        testing.TB
-	accepted chan *net.TCPConn // by the target
-	client   *net.TCPConn
-	server   *net.TCPConn
+	accepted chan *net.TCPConn // connections that the target has accepted
+	client   *net.TCPConn      // the client's end
+	server   *net.TCPConn      // the target's end
 }
 
 func newHarness(t testing.TB, rules ...string) *harness {
@@ -39,7 +39,7 @@
 	return h
 }
 
-// startTarget listens and passes on the connections that it accepts.
+// startTarget starts a listener that sends the connections it accepts to a channel. The listener closes with the test.
 func startTarget(t testing.TB) (addr string, accepted chan *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return listener.Addr().String(), accepted
 }
 
-// addRule adds a rule in the form of ParseRule.
+// addRule adds a rule, given in the form that ParseRule parses.
 func (h *harness) addRule(text string) (id int) {
 	h.t.Helper()
 	rule, err := ParseRule(text)
@@ -93,7 +93,7 @@
 		h.t.Cleanup(func() { nettest.Close(server) })
 		h.client, h.server = client, server
 	case <-time.After(nettest.Patience):
-		h.t.Fatal("the target has no connection")
+		h.t.Fatalf("the target accepted no connection within %v", nettest.Patience)
 	}
 	h.setDeadlines(time.Now().Add(nettest.Patience))
 }
@@ -118,22 +118,22 @@
 	}
 }
 
-// expect reads as much as is wanted and fails if it is something else.
+// expect reads len(want) bytes and fails the test if they differ from want.
 func (h *harness) expect(conn net.Conn, want string) {
 	h.t.Helper()
 	buffer := make([]byte, len(want))
 	if n, err := io.ReadFull(conn, buffer); err != nil || string(buffer) != want {
-		h.t.Fatalf("%q, %v; want %q", buffer[:n], err, want)
+		h.t.Fatalf("read %q, %v; want %q", buffer[:n], err, want)
 	}
 }
 
-// How a connection ends.
+// Ways in which a connection ends.
 const (
 	endFIN = "fin"
 	endRST = "rst"
 )
 
-// readAll reads to the end and returns how that came: endFIN, endRST or another error.
+// readAll reads until the connection ends. end is endFIN, endRST or the text of another error.
 func readAll(conn net.Conn) (text, end string) {
 	data, err := io.ReadAll(conn)
 	switch {
--- a/internal/testkit/faultproxy/link.go
+++ b/internal/testkit/faultproxy/link.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// maxPortAttempts bounds the search for a port that is free for both TCP and UDP.
+	// maxPortAttempts bounds the attempts to find a port that is free for both TCP and UDP.
 	maxPortAttempts = 20
-	// minStreamCutRatio is the least ratio of dropped datagrams at which a link passes no streams either.
+	// minStreamCutRatio is the least DropRatio at which a link stalls streams, too.
 	minStreamCutRatio = 0.5
 )
 
-// Link is a proxy for TCP and UDP to one target on one port: what one relay of a fleet reaches another through.
+// Link is a proxy for TCP and UDP that listens on one port and has one target. It stands for the network link from one
+// relay of a fleet to another.
 type Link struct {
 	streams   *Proxy
 	datagrams *DatagramProxy
@@ -21,12 +22,12 @@
 
 // LinkFaults are the faults of a Link. The zero value is a healthy link.
 type LinkFaults struct {
-	// Cut makes nothing pass: connections come up and stay silent, as through a firewall that drops packets.
+	// Cut lets nothing pass: connections are accepted but stay silent, as through a firewall that drops packets.
 	Cut bool
 	DatagramFaults
 }
 
-// StartLink listens on a free port of an IP address.
+// StartLink starts a link that listens on a free port of an IP address. The seed determines the random faults.
 func StartLink(ip, target string, seed uint64) (*Link, error) {
 	var errs []error
 	for range maxPortAttempts {
@@ -38,7 +39,7 @@
 		if err == nil {
 			return &Link{streams: streams, datagrams: datagrams}, nil
 		}
-		errs = append(errs, err, streams.Close()) // another socket has the port for UDP
+		errs = append(errs, err, streams.Close()) // another socket uses the port for UDP
 	}
 	return nil, errors.Join(errs...)
 }
@@ -46,8 +47,9 @@
 // Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.streams.Addr() }
 
-// SetFaults sets the faults from now on. Streams are delayed and throttled as datagrams are. Dropped datagrams cost
-// them nothing, but at half and more nothing of them passes.
+// SetFaults replaces the faults. They apply to both directions of streams, but only to datagrams on their way to the
+// target. Delay and BytesPerSecond affect streams as they affect datagrams. A DropRatio of minStreamCutRatio or more
+// stalls streams, and a lower one does not affect them.
 func (l *Link) SetFaults(faults LinkFaults) error {
 	if faults.Cut {
 		faults.DatagramFaults = DatagramFaults{DropRatio: 1}
@@ -61,7 +63,7 @@
 	return l.datagrams.SetFaults(Upstream, faults.DatagramFaults)
 }
 
-// streamRules returns the rules that do to streams what the faults do to datagrams.
+// streamRules returns the rules that apply the faults to streams.
 func (f LinkFaults) streamRules() []Rule {
 	var rules []Rule
 	for _, direction := range []Direction{Upstream, Downstream} {
--- a/internal/testkit/faultproxy/link_test.go
+++ b/internal/testkit/faultproxy/link_test.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// echoes reports whether a byte comes back in time.
+// echoes reports whether a byte is echoed within a timeout.
 func echoes(t *testing.T, conn net.Conn, timeout time.Duration) bool {
 	t.Helper()
 	setDeadline(t, conn, time.Now().Add(timeout))
@@ -22,7 +22,7 @@
 	return err == nil
 }
 
-// A link that is cut is silent in both directions, also on open streams. It is healthy again when the fault ends.
+// A cut link passes nothing, neither on open streams nor on new ones. New streams pass when the fault has ended.
 func TestLinkCut(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	link, err := StartLink("127.0.0.1", nettest.EchoServer(t), 1)
@@ -33,18 +33,18 @@
 	const timeout = 100 * time.Millisecond
 	open := nettest.Dial(t, link.Addr(), "")
 	if !echoes(t, open, nettest.Patience) {
-		t.Fatal("nothing passes a healthy link")
+		t.Fatal("no echo over a healthy link")
 	}
 	if err := link.SetFaults(LinkFaults{Cut: true}); err != nil {
 		t.Fatal(err)
 	}
 	if echoes(t, open, timeout) || echoes(t, nettest.Dial(t, link.Addr(), ""), timeout) {
-		t.Error("something passes a cut link")
+		t.Error("an echo over a cut link")
 	}
 	if err := link.SetFaults(LinkFaults{}); err != nil {
 		t.Fatal(err)
 	}
 	if !echoes(t, nettest.Dial(t, link.Addr(), ""), nettest.Patience) {
-		t.Error("nothing passes a healed link")
+		t.Error("no echo over a link after its fault has ended")
 	}
 }
--- a/internal/testkit/faultproxy/parse.go
+++ b/internal/testkit/faultproxy/parse.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// String returns the rule as ParseRule reads it.
+// String returns the rule in the form that ParseRule parses.
 func (r Rule) String() string {
 	var b strings.Builder
 	put := func(key, value string, isSet bool) {
@@ -29,7 +29,7 @@
 	return b.String() + "do=" + string(r.Fault)
 }
 
-// ParseRule parses a rule: key=value pairs separated by blanks, with values in Go's quotes where needed, such as
+// ParseRule parses a rule: key=value pairs separated by spaces. A value may be a quoted Go string. An example:
 //
 //	conn=2 dir=up match="\r\n\r\n" do=reset
 func ParseRule(text string) (Rule, error) {
@@ -79,7 +79,7 @@
 	return value, rest, nil
 }
 
-// set sets the field of a key.
+// set sets the field that belongs to a key.
 func (r *Rule) set(key, value string) (err error) {
 	switch key {
 	case "conn":
--- a/internal/testkit/faultproxy/parse_test.go
+++ b/internal/testkit/faultproxy/parse_test.go
@@ -16,7 +16,7 @@
 		t.Run(text, func(t *testing.T) {
 			rule, err := ParseRule(text)
 			if err != nil || rule.String() != text {
-				t.Errorf("%s, %v", rule, err)
+				t.Errorf("parsed as %s, error %v", rule, err)
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 		{"do=reset match=" + strings.Repeat("x", 5000), "at most"},
 	} {
 		if _, err := ParseRule(test.text); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%.30s: %v, want %q", test.text, err, test.want)
+			t.Errorf("ParseRule(%.30q): error %v, want %q", test.text, err, test.want)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		}
 		again, err := ParseRule(rule.String())
 		if err != nil || again.String() != rule.String() {
-			t.Errorf("%s becomes %s, %v", rule, again, err)
+			t.Errorf("%s is parsed as %s, error %v", rule, again, err)
 		}
 	})
 }
--- a/internal/testkit/faultproxy/proxy.go
+++ b/internal/testkit/faultproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package faultproxy is a TCP and UDP proxy that injects the faults of networks and peers. It delays, throttles,
-// stalls, corrupts, drops, duplicates or truncates what passes, and closes, resets or refuses connections. Fault rules
-// determine what happens to which connection and when; a test or a script adds and removes them while traffic runs.
-// The same seed, rules and bytes give the same faults.
+// Package faultproxy provides a TCP and UDP proxy that injects network and peer faults. It delays, throttles, stalls,
+// corrupts, drops, duplicates or truncates the bytes that pass, and closes, resets or refuses connections. Fault rules
+// determine which fault affects which connection, and when. A test or a script can add and remove rules while traffic
+// passes. The same seed, rules and bytes give the same faults.
 package faultproxy
 
 import (
@@ -22,11 +22,12 @@
 	acceptRetryInterval = 5 * time.Millisecond
 )
 
-// Proxy accepts TCP connections, makes one to its target for each, and applies its fault rules to what passes.
+// Proxy accepts TCP connections, opens a connection to its target for each, and applies its fault rules to the bytes
+// that pass.
 type Proxy struct {
 	listener   net.Listener
 	seed       uint64
-	generation atomic.Int64    // counts the changes of the rules
+	generation atomic.Int64    // number of changes of the rules
 	bytes      [2]atomic.Int64 // read so far, by direction
 	goroutines sync.WaitGroup
 
@@ -49,15 +50,15 @@
 
 // Stats counts what a Proxy has done so far.
 type Stats struct {
-	Accepted        int   // connections
+	Accepted        int   // connections, including refused ones
 	Active          int   // connections that are open
 	UpstreamBytes   int64 // read from the clients
 	DownstreamBytes int64 // read from the target
-	Triggered       int   // faults
+	Triggered       int   // how often rules have triggered
 }
 
-// Start listens on addr, such as 127.0.0.1:0, for connections to target. The seed determines the bytes that Corrupt
-// writes.
+// Start starts a proxy that listens on addr, such as 127.0.0.1:0, and connects to target. The seed determines the
+// random bytes that Corrupt writes.
 func Start(addr, target string, seed uint64) (*Proxy, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -78,15 +79,15 @@
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget makes new connections go to another address.
+// SetTarget sets the address that new connections are forwarded to.
 func (p *Proxy) SetTarget(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = addr
 }
 
-// AddRule adds a rule, also for the connections that are open, and returns its number. Bytes that have passed before
-// count for Offset, but none of them match.
+// AddRule adds a rule and returns its number. The rule also applies to open connections: the bytes that have passed on
+// them count toward an Offset without Match, but are not searched for Match.
 func (p *Proxy) AddRule(rule Rule) (int, error) {
 	if err := rule.Validate(); err != nil {
 		return 0, fmt.Errorf("sockfault: %w", err)
@@ -106,7 +107,7 @@
 	return added.id, nil
 }
 
-// RemoveRule removes a rule, and reports whether there was one of that number. Its effects on open connections stay.
+// RemoveRule removes a rule and reports whether it existed. Effects of the rule on open connections remain.
 func (p *Proxy) RemoveRule(id int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,7 +143,7 @@
 	return p.triggers[id]
 }
 
-// WaitTriggered waits until a rule has triggered.
+// WaitTriggered waits until a rule has triggered at least once.
 func (p *Proxy) WaitTriggered(ctx context.Context, id int) error {
 	for {
 		p.mu.Lock()
@@ -202,7 +203,7 @@
 	}
 }
 
-// serve starts to serve a connection, or resets it if a rule refuses it.
+// serve starts a goroutine that serves a connection, or resets the connection if a rule refuses it.
 func (p *Proxy) serve(client *net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -231,14 +232,14 @@
 	p.goroutines.Go(func() { c.serve(ctx, target) })
 }
 
-// remove forgets a connection that has ended.
+// remove removes a connection that has ended.
 func (p *Proxy) remove(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.connections, c)
 }
 
-// scheduleRules schedules the rules in force on a connection that has come up.
+// scheduleRules starts the timers of the rules in force on a connection that was just established.
 func (p *Proxy) scheduleRules(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -247,7 +248,7 @@
 	}
 }
 
-// ruleTriggered counts a rule that triggers and wakes who waits for it.
+// ruleTriggered counts that a rule has triggered, and wakes the callers of WaitTriggered.
 func (p *Proxy) ruleTriggered(id int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testkit/faultproxy/proxy_test.go
+++ b/internal/testkit/faultproxy/proxy_test.go
@@ -16,18 +16,18 @@
 	h.expect(h.server, "hello")
 	h.send(h.server, "good day")
 	h.expect(h.client, "good day")
-	nettest.CloseWrite(h.client) // a half-close is passed on as one
+	nettest.CloseWrite(h.client) // the proxy passes a half-close on as a half-close
 	if text, end := readAll(h.server); text != "" || end != endFIN {
-		t.Errorf("%q, %s", text, end)
+		t.Errorf("the server reads %q and %s, want a FIN only", text, end)
 	}
 	h.send(h.server, "still here")
 	nettest.Close(h.server)
 	if text, end := readAll(h.client); text != "still here" || end != endFIN {
-		t.Errorf("%q, %s", text, end)
+		t.Errorf("the client reads %q and %s", text, end)
 	}
 	stats := h.Stats()
 	if stats.UpstreamBytes != 5 || stats.DownstreamBytes != 18 || stats.Accepted != 1 || stats.Triggered != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("stats %+v, want 1 connection, 5 bytes up and 18 down", stats)
 	}
 }
 
@@ -38,7 +38,7 @@
 	h.expect(h.server, "x")
 	nettest.Reset(h.client)
 	if _, end := readAll(h.server); end != endRST {
-		t.Errorf("the server sees %s", end)
+		t.Errorf("the server's connection ended with %s, want %s", end, endRST)
 	}
 }
 
@@ -55,12 +55,12 @@
 	defer nettest.Close(proxy)
 	conn, err := net.Dial("tcp", proxy.Addr())
 	if err != nil {
-		return // it was reset before it came up here
+		return // the connection was reset before Dial returned
 	}
 	defer nettest.Close(conn)
 	setDeadline(t, conn, time.Now().Add(nettest.Patience))
 	if _, end := readAll(conn); end != endRST {
-		t.Errorf("%s", end)
+		t.Errorf("the client's connection ended with %s, want %s", end, endRST)
 	}
 }
 
@@ -71,20 +71,21 @@
 	h.expect(h.server, "12345")
 	removed := h.addRule(`dir=up match="b" do=reset`)
 	if !h.RemoveRule(removed) || h.RemoveRule(removed) {
-		t.Error("removed twice, or not at all")
+		t.Error("RemoveRule must return true only the first time")
 	}
 	id := h.addRule("dir=up at=7 do=halfclose") // counted from the start of the connection
 	h.send(h.client, "abcd")
 	if text, _ := readAll(h.server); text != "ab" {
-		t.Errorf("%q", text)
+		t.Errorf("the server reads %q, want %q", text, "ab")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), nettest.Patience)
 	defer cancel()
 	if err := h.WaitTriggered(ctx, id); err != nil || h.TriggerCount(id) != 1 || h.TriggerCount(removed) != 0 {
-		t.Errorf("%v, triggered %d and %d", err, h.TriggerCount(id), h.TriggerCount(removed))
+		t.Errorf("rule triggered %d times, want 1; removed rule %d times, want 0; error %v",
+			h.TriggerCount(id), h.TriggerCount(removed), err)
 	}
 	h.ClearRules()
 	if len(h.Rules()) != 0 {
-		t.Errorf("%v", h.Rules())
+		t.Errorf("rules after ClearRules: %v", h.Rules())
 	}
 }
--- a/internal/testkit/faultproxy/rule.go
+++ b/internal/testkit/faultproxy/rule.go
@@ -9,12 +9,12 @@
 
 // Bounds of a rule.
 const (
-	maxMatchLength   = 4096
-	maxAffectedBytes = 1 << 20
-	maxRuleDuration  = time.Hour
+	maxMatchLength   = 4096      // for Match and Replacement, in bytes
+	maxAffectedBytes = 1 << 20   // for ByteCount
+	maxRuleDuration  = time.Hour // for After and Duration
 )
 
-// Direction is the way that bytes take.
+// Direction is a direction of traffic through the proxy.
 type Direction int
 
 // The directions.
@@ -23,7 +23,7 @@
 	Downstream                  // from the target to the client
 )
 
-// String returns the direction as rules write it.
+// String returns the direction as it is written in rules.
 func (d Direction) String() string {
 	switch d {
 	case Upstream:
@@ -34,23 +34,24 @@
 	return fmt.Sprintf("Direction(%d)", int(d))
 }
 
-// Fault is what a rule does. The values are the words of ParseRule.
+// Fault is the effect of a rule. The values are the names that ParseRule accepts.
 type Fault string
 
-// The faults. Delay and Throttle last for the rest of the direction, or for Duration if that is set. Corrupt, Drop and
-// Duplicate affect the next ByteCount bytes. The others end something.
+// The faults. Delay lasts until the connection ends. Throttle and Stall last for Duration, or until the connection ends
+// if Duration is 0. Corrupt, Drop and Duplicate affect the next ByteCount bytes. The effects of the others are
+// permanent.
 const (
 	Delay     Fault = "delay"     // every byte arrives Duration later
-	Throttle  Fault = "trickle"   // at most BytesPerSecond pass, for Duration; 0: to the end
-	Stall     Fault = "stall"     // nothing passes for Duration; 0: to the end, and the connection stays open
+	Throttle  Fault = "trickle"   // at most BytesPerSecond pass
+	Stall     Fault = "stall"     // no bytes pass, and the connection stays open
 	Corrupt   Fault = "garble"    // the next bytes are replaced by Replacement, or by random bytes
-	Drop      Fault = "drop"      // the next bytes are left out
-	Duplicate Fault = "double"    // the next bytes are sent twice
-	Truncate  Fault = "truncate"  // nothing more passes, and the connection stays open
-	HalfClose Fault = "halfclose" // this direction ends (FIN), the other goes on
-	Close     Fault = "close"     // both directions end in order (FIN)
+	Drop      Fault = "drop"      // the next bytes are not forwarded
+	Duplicate Fault = "double"    // the next bytes are forwarded twice
+	Truncate  Fault = "truncate"  // no more bytes pass, and the connection stays open
+	HalfClose Fault = "halfclose" // this direction ends (FIN), and the other one continues
+	Close     Fault = "close"     // both directions end gracefully (FIN)
 	Reset     Fault = "reset"     // both directions end at once (RST)
-	Refuse    Fault = "refuse"    // the connection is reset as soon as it is made: its only trigger is Connection
+	Refuse    Fault = "refuse"    // the connection is reset when it is accepted; Connection is the only trigger
 )
 
 var faults = []Fault{
@@ -60,23 +61,24 @@
 // endsDirection reports whether a fault ends one direction of a connection or both.
 func (f Fault) endsDirection() bool { return f == HalfClose || f == Close || f == Reset }
 
-// Rule is a fault and its trigger. It triggers once for each direction of each connection that it applies to.
+// Rule is a fault and its trigger. It triggers once on each connection that it applies to.
 type Rule struct {
 	Connection int           // the number of the connection, counted from 1; 0: every connection
-	Direction  Direction     // whose bytes trigger it and, but for Close, Reset and Refuse, are affected
-	After      time.Duration // not before the connection has been up for this time
-	Offset     int64         // after this many bytes; with Match, counted from the end of the match
-	Match      []byte        // after these bytes; empty: Offset alone counts
-	Occurrence int           // which match, counted from 1; 0: the first
+	Direction  Direction     // whose bytes trigger the rule, and are affected except by Close, Reset and Refuse
+	After      time.Duration // the rule triggers no earlier than this time after the connection was established
+	Offset     int64         // the rule triggers after this many bytes; with Match, counted from the end of the match
+	Match      []byte        // the rule triggers after these bytes; empty: Offset alone counts
+	Occurrence int           // which match triggers the rule, counted from 1; 0: the first
 	Fault      Fault
 
+	// Parameters of the fault.
 	Duration       time.Duration
 	BytesPerSecond int
-	ByteCount      int    // 0: one
-	Replacement    []byte // its length takes the place of ByteCount
+	ByteCount      int    // 0: one byte
+	Replacement    []byte // if not empty, its length replaces ByteCount
 }
 
-// Validate returns an error if a value of the rule is out of range, or does not go with the fault.
+// Validate returns an error if a value of the rule is out of range, or if values do not fit together.
 func (r Rule) Validate() error {
 	if err := r.validateRanges(); err != nil {
 		return err
@@ -85,14 +87,14 @@
 }
 
 func (r Rule) validateRanges() error {
-	least := min(
+	smallest := min(
 		int64(r.Connection), int64(r.After), r.Offset, int64(r.Occurrence),
 		int64(r.Duration), int64(r.BytesPerSecond), int64(r.ByteCount),
 	)
 	switch {
 	case !slices.Contains(faults, r.Fault):
 		return fmt.Errorf("unknown fault %q, one of %v", r.Fault, faults)
-	case least < 0:
+	case smallest < 0:
 		return errors.New("no value may be below 0")
 	case r.Direction != Upstream && r.Direction != Downstream:
 		return fmt.Errorf("unknown direction %d", int(r.Direction))
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// appliesTo reports whether the rule is for a connection of this number.
+// appliesTo reports whether the rule applies to the connection with this number.
 func (r Rule) appliesTo(connection int) bool { return r.Connection == 0 || r.Connection == connection }
 
 // affectedBytes returns how many bytes Corrupt, Drop or Duplicate affect.
--- a/internal/testkit/faultproxy/stream.go
+++ b/internal/testkit/faultproxy/stream.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// readBufferSize is the most that is read from a socket at once.
+// readBufferSize is the most that is read from a socket at once, in bytes.
 const readBufferSize = 128 << 10
 
-// stream is one direction of a connection. Its goroutine reads, looks for rules that trigger, and writes.
+// stream is one direction of a connection. Its goroutine reads bytes, checks which rules they trigger, and writes them
+// to the other side.
 type stream struct {
 	conn       *connection
 	direction  Direction
 	from, to   *net.TCPConn
 	startedAt  time.Time
-	generation int64 // of the rules that triggers belong to
+	generation int64 // of the proxy's rules when triggers was last updated
 	triggers   []*trigger
-	passed     int64 // bytes
+	passed     int64 // bytes processed so far, including bytes that were not forwarded
 	random     *rand.Rand
 
 	// The effects of rules that have triggered.
 	corruption  corruption
-	toDrop      int // of the bytes to come
+	toDrop      int // number of the next bytes to drop
 	duplication duplication
-	truncated   bool // nothing more is sent
-	delays      *delayQueue
+	truncated   bool        // no more bytes are forwarded
+	delays      *delayQueue // nil: no delay
 	throttle    throttle
 }
 
@@ -44,7 +45,7 @@
 	}
 }
 
-// run copies the direction until it ends.
+// run forwards the bytes of the direction until it ends.
 func (s *stream) run() {
 	defer s.closeDelays()
 	buffer := make([]byte, readBufferSize)
@@ -57,17 +58,17 @@
 		if err == nil {
 			continue
 		}
-		s.closeDelays() // delayed bytes arrive before the end
+		s.closeDelays() // delayed bytes must arrive before the end
 		if errors.Is(err, io.EOF) {
-			_ = s.to.CloseWrite() // an error: that side has ended already
+			_ = s.to.CloseWrite() // fails if that side was closed already
 		} else {
-			s.conn.reset() // a reset is passed on as one
+			s.conn.reset() // a reset of one side resets the other
 		}
 		return
 	}
 }
 
-// process sends data on and applies the rules that it triggers. It reports whether the direction goes on.
+// process forwards data and applies the rules that data triggers. It returns false if the connection has ended.
 func (s *stream) process(data []byte) bool {
 	for {
 		s.refreshTriggers()
@@ -95,7 +96,7 @@
 	}
 }
 
-// refreshTriggers takes up the rules that were added, and drops those that were removed.
+// refreshTriggers adds triggers for rules that were added and removes those of rules that were removed.
 func (s *stream) refreshTriggers() {
 	proxy := s.conn.proxy
 	generation := proxy.generation.Load()
@@ -122,7 +123,8 @@
 	s.triggers = triggers
 }
 
-// firstTrigger returns the rule that triggers first within data and after how many bytes; nil and never if none does.
+// firstTrigger returns the rule that triggers first within data, and after how many bytes. If no rule triggers, it
+// returns nil and never.
 func (s *stream) firstTrigger(data []byte) (first *trigger, offset int64) {
 	offset = never
 	for _, t := range s.triggers {
@@ -136,7 +138,8 @@
 	return first, offset
 }
 
-// apply applies a rule that triggers. It reports whether the direction goes on.
+// apply applies a rule that triggers. It returns false if the connection has ended. After HalfClose, it has not: the
+// stream still reads bytes but no longer forwards them.
 func (s *stream) apply(rule numberedRule) bool {
 	if rule.Fault.endsDirection() {
 		s.closeDelays()
@@ -167,7 +170,8 @@
 	return true
 }
 
-// stall waits for a time, or if that is 0 for the end of the connection. It reports whether the direction goes on.
+// stall waits for a duration, or until the connection ends if the duration is 0. It returns false if the connection has
+// ended.
 func (s *stream) stall(duration time.Duration) bool {
 	if duration == 0 {
 		<-s.conn.done
@@ -176,7 +180,7 @@
 	return s.sleep(duration)
 }
 
-// sleep waits, and reports whether the connection has not ended meanwhile.
+// sleep waits for a duration. It returns false if the connection ends first.
 func (s *stream) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -188,7 +192,7 @@
 	}
 }
 
-// send sends data on with the effects in force. It reports whether the other side takes more. It may change data.
+// send forwards data with the effects in force, and may modify data. It returns false if the connection has ended.
 func (s *stream) send(data []byte) bool {
 	if s.truncated || len(data) == 0 {
 		return true
@@ -203,7 +207,7 @@
 	return s.write(data)
 }
 
-// write writes data, no faster than the throttle allows. It reports whether the other side takes more.
+// write writes data no faster than the throttle allows. It returns false if the connection has ended.
 func (s *stream) write(data []byte) bool {
 	for rate := s.throttle.rate(); rate > 0 && len(data) > 0; rate = s.throttle.rate() {
 		n := min(len(data), max(1, rate/throttledWritesPerSecond))
@@ -223,7 +227,8 @@
 	return true
 }
 
-// closeDelays waits until all delayed bytes have arrived, or the connection has ended.
+// closeDelays closes the delay queue, if there is one, and waits until all delayed bytes are written or the connection
+// has ended.
 func (s *stream) closeDelays() {
 	if s.delays == nil {
 		return
--- a/internal/testkit/faultproxy/stream_test.go
+++ b/internal/testkit/faultproxy/stream_test.go
@@ -14,10 +14,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// faultInput is what clients send in the tests of faults.
+// faultInput is the text that clients send in the tests of faults.
 const faultInput = "abcdefabcdef"
 
-// pieceLengths are how it is divided: a trigger must not depend on how the bytes come.
+// pieceLengths are the sizes of the writes that faultInput is divided into. The offset at which a rule triggers must
+// not depend on the division.
 var pieceLengths = []int{len(faultInput), 1, 5}
 
 func TestFaultsTriggerAtTheirByte(t *testing.T) {
@@ -35,7 +36,7 @@
 		{"dir=up at=2 for=30ms do=stall", "abcdefabcdef", endFIN},
 		{"dir=up at=2 for=30ms do=delay", "abcdefabcdef", endFIN},
 		{"dir=up at=2 rate=1000 do=trickle", "abcdefabcdef", endFIN},
-		{"dir=down at=2 do=halfclose", "abcdefabcdef", endFIN}, // the other direction
+		{"dir=down at=2 do=halfclose", "abcdefabcdef", endFIN}, // the rule is for the other direction
 		{"conn=2 dir=up at=2 do=reset", "abcdefabcdef", endFIN},
 	} {
 		for _, length := range pieceLengths {
@@ -51,14 +52,15 @@
 				}
 				nettest.CloseWrite(h.client)
 				if text, end := readAll(h.server); text != test.want || end != test.end {
-					t.Errorf("%q, %s; want %q, %s", text, end, test.want, test.end)
+					t.Errorf("the server reads %q and %s, want %q and %s", text, end, test.want, test.end)
 				}
 			})
 		}
 	}
 }
 
-// Bytes before a reset arrive only if they are read before it: there may be fewer, and never more.
+// Bytes that pass before a reset are lost if the server has not read them when the reset arrives. The server may thus
+// read fewer bytes than the rule lets pass, but never more.
 func TestResetTriggersAtItsByte(t *testing.T) {
 	const want = "abcd"
 	for range pieceLengths {
@@ -74,7 +76,7 @@
 		})
 		text, end := readAll(h.server)
 		if end != endRST || !strings.HasPrefix(want, text) {
-			t.Errorf("%q, %s; want %q, %s", text, end, want, endRST)
+			t.Errorf("the server reads %q and %s, want a prefix of %q and %s", text, end, want, endRST)
 		}
 		sender.Wait()
 	}
@@ -93,7 +95,7 @@
 			}
 			first := run()
 			if len(first) != 10 || first[:3] != "012" || first[7:] != "789" {
-				t.Fatalf("%q", first)
+				t.Fatalf("the client reads %q, want only bytes 3 to 6 replaced", first)
 			}
 			for i := 3; i < 7; i++ {
 				if first[i] == "0123456789"[i] {
@@ -101,7 +103,7 @@
 				}
 			}
 			if second := run(); second != first {
-				t.Errorf("%q, then %q", first, second)
+				t.Errorf("the same seed gives %q, then %q", first, second)
 			}
 		})
 	}
@@ -117,7 +119,7 @@
 	setDeadline(t, h.server, time.Now().Add(50*time.Millisecond))
 	var timeout net.Error
 	if n, err := h.server.Read(make([]byte, 1)); n != 0 || !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read %d bytes of a stalled direction, error %v; want a timeout", n, err)
 	}
 }
 
@@ -136,7 +138,7 @@
 			h.send(h.client, "0123456789")
 			h.expect(h.server, "0123456789")
 			if took := time.Since(startedAt); took < test.min {
-				t.Error(took)
+				t.Errorf("the bytes passed in %v, want at least %v", took, test.min)
 			}
 		})
 	}
@@ -146,13 +148,13 @@
 	h := newHarness(t, "dir=up after=30ms do=reset")
 	h.connect()
 	if _, end := readAll(h.client); end != endRST {
-		t.Errorf("the client sees %s", end)
+		t.Errorf("the client's connection ended with %s, want %s", end, endRST)
 	}
 	h = newHarness(t)
 	h.connect()
-	h.addRule("dir=down after=10ms do=halfclose") // for a connection that is open
+	h.addRule("dir=down after=10ms do=halfclose") // the connection is already open
 	if _, end := readAll(h.client); end != endFIN {
-		t.Errorf("the client sees %s", end)
+		t.Errorf("the client's connection ended with %s, want %s", end, endFIN)
 	}
 	h.send(h.client, "upstream goes on")
 	h.expect(h.server, "upstream goes on")
@@ -166,10 +168,10 @@
 		defer nettest.Close(conn)
 		setDeadline(t, conn, time.Now().Add(nettest.Patience))
 		if _, end := readAll(conn); end != endRST {
-			t.Errorf("the first connection sees %s", end)
+			t.Errorf("the first connection ended with %s, want %s", end, endRST)
 		}
 	case !errors.Is(err, syscall.ECONNRESET):
-		t.Errorf("the first connection: %v", err)
+		t.Errorf("dialing the first connection: %v, want a reset", err)
 	}
 	h.connect()
 	h.send(h.client, "the second passes")
--- a/internal/testkit/faultproxy/trigger.go
+++ b/internal/testkit/faultproxy/trigger.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// never is an offset that no direction reaches.
+// never is an offset larger than any that a direction reaches.
 const never = int64(math.MaxInt64)
 
-// trigger finds the byte of one direction of one connection at which a rule triggers.
+// trigger finds the offset at which a rule triggers in one direction of one connection.
 type trigger struct {
 	numberedRule
-	done      bool
-	matches   int    // that must still come before remaining counts
-	remaining int64  // bytes that must still pass after the matches
-	tail      []byte // the last bytes that passed, as far as a match may begin in them
-	noMatch   bool   // nextOffset has found no match in the data that advance is called with next
+	done      bool   // the rule has triggered
+	matches   int    // how many matches must still be found
+	remaining int64  // how many bytes must still pass after the last match
+	tail      []byte // the last bytes that passed, in which the next match may begin
+	noMatch   bool   // nextOffset found no match in its data, so the next advance need not search
 }
 
 func newTrigger(rule numberedRule) *trigger {
@@ -27,8 +27,8 @@
 	return t
 }
 
-// nextOffset returns after how many bytes of data the rule triggers; -1: not within data. All data that pass before it
-// triggers must be passed to advance.
+// nextOffset returns after how many bytes of data the rule triggers; -1 if it does not trigger within data. The caller
+// must pass all data before the trigger to advance.
 func (t *trigger) nextOffset(data []byte) int64 {
 	if t.done {
 		return -1
@@ -51,8 +51,8 @@
 // findMatch returns the end, in data, of the first match in tail and data together; -1 if there is none.
 func (t *trigger) findMatch(tail, data []byte) int64 {
 	if len(tail) > 0 {
-		joint := slices.Concat(tail, data[:min(len(data), len(t.Match)-1)])
-		if i := bytes.Index(joint, t.Match); i >= 0 {
+		joined := slices.Concat(tail, data[:min(len(data), len(t.Match)-1)])
+		if i := bytes.Index(joined, t.Match); i >= 0 {
 			return int64(i + len(t.Match) - len(tail))
 		}
 	}
@@ -62,12 +62,12 @@
 	return -1
 }
 
-// advance takes note of data that have passed before the rule triggers.
+// advance updates the trigger after data has passed without triggering the rule.
 func (t *trigger) advance(data []byte) {
 	if t.done {
 		return
 	}
-	noMatch := t.noMatch // what has no match as a whole has none in a part
+	noMatch := t.noMatch // if all of the data has no match, neither has a prefix of it
 	t.noMatch = false
 	for t.matches > 0 {
 		end := int64(-1)
@@ -84,7 +84,7 @@
 	t.remaining = max(0, t.remaining-int64(len(data)))
 }
 
-// keepTail keeps the last bytes of tail and data together, one fewer than a match has.
+// keepTail sets tail to the last bytes of tail and data together, one byte fewer than the match has.
 func (t *trigger) keepTail(data []byte) {
 	length := len(t.Match) - 1
 	if len(data) >= length {
--- a/internal/testkit/faultproxy/trigger_test.go
+++ b/internal/testkit/faultproxy/trigger_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A trigger finds its byte however the data are divided: the model looks at all of them at once.
+// A rule triggers at the same offset however the data is divided into reads. modelOffset computes the expected offset
+// from all of the data at once.
 func TestTriggersDoNotDependOnHowBytesCome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := []byte(rapid.StringMatching(`[ab]{0,40}`).Draw(t, "data"))
@@ -35,7 +36,7 @@
 	})
 }
 
-// modelOffset returns where a rule triggers in data; -1: not in them.
+// modelOffset returns the offset in data at which a rule triggers; -1 if it does not trigger.
 func modelOffset(rule Rule, data []byte) int64 {
 	offset := int64(0)
 	for n := 0; len(rule.Match) > 0 && n < max(1, rule.Occurrence); n++ {
@@ -57,6 +58,6 @@
 	tested := newTrigger(numberedRule{Rule: rule})
 	tested.advance([]byte("a"))
 	if got := tested.nextOffset([]byte("aaa")); got != 3 {
-		t.Errorf("triggers after %d bytes, want 3", got)
+		t.Errorf("the rule triggers after %d bytes, want 3", got)
 	}
 }
