--- a/internal/testkit/fake/call.go
+++ b/internal/testkit/fake/call.go
@@ -29,7 +29,7 @@
 	rejectReason string
 }
 
-// parseCall returns the call that a request makes. If the request is malformed, the call has a rejectStatus.
+// parseCall converts a request to a call. If the request is malformed, the call has a rejectStatus.
 func parseCall(request *http.Request, body []byte) call {
 	if request.Method != http.MethodPost {
 		return rejectedCall(http.StatusMethodNotAllowed, "method %s", request.Method)
@@ -126,7 +126,7 @@
 	return body
 }
 
-// decide determines the answer to a call. A well-formed call takes a slot if the relay has a free one.
+// decide determines the answer to a call. It takes one of the relay's slots for the call, if the call is well formed.
 func (c *endpointConn) decide(received call) answer {
 	if received.rejectStatus != 0 {
 		c.endpoint.recordInvalid(c.relay, received.rejectReason)
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -16,9 +16,9 @@
 	reconnectPause = 50 * time.Millisecond
 	// unansweredPause is the pause before a message is resubmitted because its request got no answer.
 	unansweredPause = 100 * time.Millisecond
-	// maxUnanswered is how many submissions of a message may stay unanswered before its client gives up.
+	// maxUnanswered is the number of unanswered submissions of a message after which its client gives up.
 	maxUnanswered = 2
-	// maxRejections is how many submissions of a message may be rejected before its client gives up.
+	// maxRejections is the number of rejected submissions of a message after which its client gives up.
 	maxRejections = 2
 )
 
@@ -107,7 +107,7 @@
 	deadline  time.Time
 }
 
-// submitWithRetries submits a message and resubmits it, as described at Clients, until its deadline.
+// submitWithRetries submits a message, and resubmits it in the cases that the comment on Clients lists.
 func (c *Clients) submitWithRetries(ctx context.Context, arrival scenario.Arrival, delay time.Duration) {
 	class := c.file.Classes[arrival.Class]
 	s := submission{
--- a/internal/testkit/fake/endpoint.go
+++ b/internal/testkit/fake/endpoint.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// Endpoint is a fake endpoint. It listens on a separate address for each relay, which identifies the calling relay.
+// Endpoint is a fake endpoint. It listens on a separate address for each relay, in order to identify the calling relay.
 type Endpoint struct {
 	spec    scenario.Endpoint
 	world   *World
--- a/internal/testkit/fake/endpointconn.go
+++ b/internal/testkit/fake/endpointconn.go
@@ -17,7 +17,7 @@
 	maxBodySize = 64 << 10
 	// maxCallSize is the most that is read of the body of a call, in bytes.
 	maxCallSize = 16 * maxBodySize
-	// keepAliveGrace is how much longer than KeepAliveTimeout endpoints keep an idle connection open.
+	// keepAliveGrace is how much longer than the scenario's KeepAliveTimeout an endpoint keeps an idle connection.
 	keepAliveGrace = time.Second
 )
 
--- a/internal/testkit/faultproxy/link.go
+++ b/internal/testkit/faultproxy/link.go
@@ -49,7 +49,7 @@
 
 // SetFaults replaces the faults. They apply to both directions of streams, but only to datagrams on their way to the
 // target. Delay and BytesPerSecond affect streams as they affect datagrams. A DropRatio of minStreamCutRatio or more
-// stalls streams, and a lower one does not affect them.
+// stalls streams, and a lower one does not affect them. Open streams keep the effects of earlier faults.
 func (l *Link) SetFaults(faults LinkFaults) error {
 	if faults.Cut {
 		faults.DatagramFaults = DatagramFaults{DropRatio: 1}
--- a/internal/testkit/faultproxy/stream.go
+++ b/internal/testkit/faultproxy/stream.go
@@ -138,8 +138,8 @@
 	return first, offset
 }
 
-// apply applies a rule that triggers. It returns false if the connection has ended. After HalfClose, it has not: the
-// stream still reads bytes but no longer forwards them.
+// apply applies a rule that triggers. It returns false if the connection has ended. HalfClose does not end the
+// connection: the stream still reads bytes, but no longer forwards them.
 func (s *stream) apply(rule numberedRule) bool {
 	if rule.Fault.endsDirection() {
 		s.closeDelays()
