--- a/internal/testkit/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -15,41 +15,41 @@
 	"time"
 )
 
-// badMode is the rule that a badRelay violates.
+// badMode selects the rule that a badRelay violates.
 type badMode string
 
 const (
-	modeNone           badMode = "none"       // it keeps all rules
-	modeLoseMessages   badMode = "lose"       // it forgets some messages
-	modeDeliverTwice   badMode = "twice"      // it sends payments again that were served
-	modeIgnoreDraining badMode = "drain"      // it calls endpoints that drain
-	modeIgnoreWait     badMode = "wait"       // it ignores Retry-After
-	modeReorder        badMode = "order"      // it swaps messages of an ordering key
-	modeOverload       badMode = "push"       // it retries without a backoff
-	modeRejectAll      badMode = "reject-all" // it rejects all messages, so that the load alone is measured
+	modeNone           badMode = "none"       // keeps all rules
+	modeLoseMessages   badMode = "lose"       // drops some accepted messages
+	modeDeliverTwice   badMode = "twice"      // sends each payment again after it was delivered
+	modeIgnoreDraining badMode = "drain"      // calls endpoints in any state, draining ones too
+	modeIgnoreWait     badMode = "wait"       // ignores Retry-After
+	modeReorder        badMode = "order"      // swaps the messages of each pair with one ordering key
+	modeOverload       badMode = "push"       // retries after noRetryPause instead of retryPause
+	modeRejectAll      badMode = "reject-all" // rejects all messages, for TestLoad
 )
 
-// badModeVariable names the mode of a process that is a badRelay.
+// badModeVariable is the environment variable that makes this test binary run as a badRelay in the given mode.
 const badModeVariable = "REHEARSAL_BAD_RELAY"
 
 const (
-	retryPause    = 200 * time.Millisecond
-	noRetryPause  = 20 * time.Millisecond // of modeOverload
-	orderingPause = 1050 * time.Millisecond
-	noEndpointGap = 20 * time.Millisecond
+	retryPause    = 200 * time.Millisecond  // before a rejected message is sent again
+	noRetryPause  = 20 * time.Millisecond   // in place of retryPause in modeOverload
+	orderingPause = 1050 * time.Millisecond // after a call that may still run
+	noEndpointGap = 20 * time.Millisecond   // between two searches for an endpoint
 )
 
-// badRelay is a plain relay: it sends each message to the first endpoint of its destination in service, again after a
-// pause if that rejected it, and fails it after its deadline or if it may have run. It keeps the rules, but for the one
-// that its mode violates.
+// badRelay is a simple relay. It sends each message to the first ready endpoint of the message's destination, and
+// retries after a pause if the endpoint rejects the call. The message fails when its deadline is near, or after a call
+// that may have run. A badRelay keeps every rule except the one that its mode violates.
 type badRelay struct {
 	mode      badMode
 	discovery string
 
 	mu         sync.Mutex
 	endpoints  map[string]badEndpoint
-	retryAfter map[string]time.Time     // by service
-	orderTails map[string]chan struct{} // by ordering key: closed when its last message has ended
+	retryAfter map[string]time.Time     // by service: no calls before this time
+	orderTails map[string]chan struct{} // by ordering key: see enqueue
 }
 
 // badEndpoint is an entry of the endpoint list.
@@ -110,8 +110,8 @@
 	}
 }
 
-// chooseEndpoint returns the endpoint with the first id of those in service, or of all with modeIgnoreDraining. It
-// returns false if there is none, or if a Retry-After has to be respected.
+// chooseEndpoint returns the ready endpoint of a destination with the lowest id. modeIgnoreDraining includes endpoints
+// in other states. It returns false if there is no such endpoint, or while a Retry-After has to be respected.
 func (b *badRelay) chooseEndpoint(destination int) (badEndpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -182,18 +182,20 @@
 	deadline    time.Time
 }
 
-// enqueue queues a message behind those of its ordering key; before is closed when it may go.
+// enqueue queues a message behind the earlier messages of its ordering key. before is closed when the message may be
+// sent, and the caller closes done when the message has ended. orderTails holds the done channel of the key's newest
+// message. modeReorder sends the messages of each pair of a key in reverse order.
 func (b *badRelay) enqueue(orderingKey string) (before, done chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before, done = b.orderTails[orderingKey], make(chan struct{})
 	if b.mode == modeReorder && orderingKey != "" {
-		if before == nil { // waits for the next of its key
+		if before == nil { // the first message waits until the second has ended
 			b.orderTails[orderingKey] = done
 			return done, make(chan struct{})
 		}
 		delete(b.orderTails, orderingKey)
-		done = before // the next goes first, and lets it go
+		done = before // the second message goes at once, and its end releases the first
 		before = nil
 	}
 	if orderingKey == "" || before == nil {
@@ -206,7 +208,7 @@
 	return before, done
 }
 
-// deliver makes calls until one is served, and fails the message if none is.
+// deliver makes calls until one delivers the message. If none does, it reports the message as undeliverable.
 func (b *badRelay) deliver(m badMessage) {
 	for time.Until(m.deadline) > 300*time.Millisecond {
 		endpoint, ok := b.chooseEndpoint(m.destination)
@@ -230,7 +232,7 @@
 			time.Sleep(pause)
 		default:
 			b.notifyUndeliverable(m.id)
-			time.Sleep(orderingPause) // it may still run: the next of its key waits
+			time.Sleep(orderingPause) // the call may still run: the next message of the key has to wait
 			return
 		}
 	}
@@ -255,7 +257,7 @@
 	}
 }
 
-// call returns the status of a call, 0 if it got no answer, and its Retry-After.
+// call sends a message to an endpoint and returns the status and the Retry-After of the answer; status 0: no answer.
 func (b *badRelay) call(endpoint badEndpoint, m badMessage) (status int, wait time.Duration) {
 	ctx, cancel := context.WithDeadline(context.Background(), m.deadline.Add(-100*time.Millisecond))
 	defer cancel()
@@ -270,7 +272,7 @@
 		return 0, 0
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status is known already
+	_, _ = io.Copy(io.Discard, response.Body) // only the status and the header are needed
 	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	return response.StatusCode, time.Duration(seconds * float64(time.Second))
 }
--- a/internal/testkit/rehearsal/child_linux.go
+++ b/internal/testkit/rehearsal/child_linux.go
@@ -2,5 +2,6 @@
 
 import "syscall"
 
-// childAttributes has the kernel kill a relay when the rehearsal dies, also when it is killed: no process is left.
+// childAttributes makes the kernel kill a relay's process when this process ends, even by SIGKILL, so that no relay is
+// left running.
 func childAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} }
--- a/internal/testkit/rehearsal/discovery.go
+++ b/internal/testkit/rehearsal/discovery.go
@@ -11,26 +11,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// discoveryStream is the stream of the random numbers of the delays.
+// discoveryStream is the stream of the random generator that draws the delays.
 const discoveryStream = 1
 
-// discovery is the platform's endpoint list, and the delays with which its changes reach each relay.
+// discovery holds the platform's endpoint list, and notifies each relay of its changes after a random delay.
 type discovery struct {
 	record        *eventlog.Writer
 	world         *fake.World
-	endpoints     []scenario.Endpoint // all of the plan
+	endpoints     []scenario.Endpoint // all endpoints of the plan, including those added later
 	endpointsByID map[string]scenario.Endpoint
 	delays        scenario.Discovery
 
 	mu          sync.Mutex
 	random      *rand.Rand
-	listed      map[string]fake.ListedEndpoint // without addresses, which differ between relays
+	listed      map[string]fake.ListedEndpoint // by endpoint, without addresses, which differ between relays
 	extraDelays map[string]time.Duration       // by relay
 	relays      []string
-	updates     map[string]chan listUpdate // by relay, in their order
+	updates     map[string]chan listUpdate // by relay, in the order of the changes
 }
 
-// listUpdate is a change of the endpoint list that a relay is notified of at a time.
+// listUpdate is a change of the endpoint list, and the time at which a relay is notified of it.
 type listUpdate struct {
 	endpoint fake.ListedEndpoint
 	due      time.Time
@@ -87,7 +87,7 @@
 	d.record.Add(event)
 }
 
-// firstList returns the endpoints that are there from the start, as a relay is notified of them.
+// firstList returns the endpoints that exist from the start, with their addresses for a relay.
 func (d *discovery) firstList(relay string) []fake.ListedEndpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +100,7 @@
 	return list
 }
 
-// withAddress returns an entry with the address of the endpoint for a relay.
+// withAddress returns an entry with the address at which a relay reaches the endpoint.
 func (d *discovery) withAddress(listed fake.ListedEndpoint, relay string) fake.ListedEndpoint {
 	if endpoint := d.world.Endpoint(listed.ID); endpoint != nil {
 		listed.Addr = endpoint.Addr(relay)
@@ -108,7 +108,7 @@
 	return listed
 }
 
-// addRelay returns the channel of the updates of a relay, which has room for a number of them.
+// addRelay registers a relay and returns the channel of its updates, which buffers up to maxUpdates of them.
 func (d *discovery) addRelay(name string, maxUpdates int) <-chan listUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,14 +132,14 @@
 	}
 }
 
-// setExtraDelay delays the updates of a relay by more than the scenario's delays.
+// setExtraDelay sets a delay that is added to the random delay of a relay's updates.
 func (d *discovery) setExtraDelay(relay string, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.extraDelays[relay] = delay
 }
 
-// add starts a new endpoint and lists it.
+// add starts a new endpoint, lists it as ready and schedules the notification of each relay.
 func (d *discovery) add(id string) error {
 	if err := d.startEndpoint(d.endpointsByID[id]); err != nil {
 		return err
@@ -148,7 +148,8 @@
 	return nil
 }
 
-// setState changes the state of an endpoint in the list, and has each relay notified after a delay that is drawn.
+// setState changes the state of an endpoint in the list, and schedules the notification of each relay after a random
+// delay.
 func (d *discovery) setState(id, state string) {
 	d.recordState(d.endpointsByID[id], state)
 	d.mu.Lock()
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	linkIP          = "127.0.0.1"
-	maxPortAttempts = 20
+	linkIP          = "127.0.0.1" // IP address that the links listen on
+	maxPortAttempts = 20          // in the search for a port that is free for TCP and UDP
 )
 
 // fleetMember is the configuration of a relay as a member of a fleet.
 type fleetMember struct {
-	listen    string            // for the other relays
-	adminAddr string            // where it states what it knows of the others
-	join      map[string]string // the others' addresses by name, each through a link of its own
+	listen    string            // address that it listens on for the other members
+	adminAddr string            // address at which it reports its view of the other members
+	join      map[string]string // address of each member by name; for another member, that of the link to it
 }
 
-// connectFleet gives each relay of a fleet its addresses, and each ordered pair of relays a link that faults can
-// strike.
+// connectFleet assigns each relay of a fleet its addresses, and starts a link for each ordered pair of relays, into
+// which faults can be injected.
 func (r *runner) connectFleet() error {
 	for i, relay := range r.relayOrder {
-		// An IP address of its own: nobody who connects from elsewhere on this machine takes its ports while it is
-		// down.
+		// Each relay has its own IP address, so that no outgoing connection of another process on this machine takes
+		// one of the relay's ports while the relay is down.
 		ip := fmt.Sprintf("127.7.%d.1", i+1)
 		listen, err := freePort(ip)
 		if err != nil {
@@ -77,10 +77,10 @@
 		}
 		errs = append(errs, err)
 	}
-	return "", fmt.Errorf("rehearsal: no port: %w", errors.Join(errs...))
+	return "", fmt.Errorf("rehearsal: no port of %s is free for TCP and UDP: %w", ip, errors.Join(errs...))
 }
 
-// operatorText returns the member's part of the operator's file.
+// operatorText returns the sections of the operator's file that make a relay a member of the fleet.
 func (m *fleetMember) operatorText(name string, fleet scenario.Fleet) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[fleet]\nenabled = true\nrights = %v\nname = %q\n", fleet.Quotas, name)
@@ -91,11 +91,11 @@
 	return text.String()
 }
 
-// setLinkFaults executes a step that is about a link.
+// setLinkFaults executes a step that sets or removes the faults of a link.
 func (r *runner) setLinkFaults(step scenario.Step) error {
 	link := r.links[step.Target]
 	if link == nil {
-		return fmt.Errorf("rehearsal: no link %s", step.Target)
+		return fmt.Errorf("rehearsal: step %s: no link %q", step.Op, step.Target)
 	}
 	var faults faultproxy.LinkFaults
 	state := eventlog.LinkFaulty
--- a/internal/testkit/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The short fleet of CI: three relays, of which one is cut off and comes back, one is stalled, and one gets an older
-// state folder. What they state of each other is what is true.
+// A short rehearsal of a fleet of three relays, for CI. One relay is cut off and reconnects, one is stalled, and one is
+// killed and restarts with an older state folder. The views that the relays report of each other must stay correct.
 func TestShortFleetOfThreeRelays(t *testing.T) {
 	f := parse(t, "24s", 3, `
 [fleet]
@@ -41,7 +41,8 @@
 relays = [3]
 folder = "older"
 `)
-	// The messages of a state folder that is lost have no end: none is submitted before the relay is killed.
+	// Messages in a state folder that is replaced never get a final answer. Therefore nothing is submitted from 15 s to
+	// 20 s, around the kill at 18 s.
 	later := f.Traffic[0]
 	f.Traffic[0].To, later.From = scenario.Duration(15e9), scenario.Duration(20e9)
 	f.Traffic = append(f.Traffic, later)
@@ -60,7 +61,7 @@
 		}
 	}
 	if generations["r3"] < 2 {
-		t.Errorf("generations: %v", generations)
+		t.Errorf("generations %v, want at least 2 for r3", generations)
 	}
 	checkNoProcessLeft(t, dir)
 }
@@ -87,7 +88,7 @@
 	}
 }
 
-// fault returns the table of a fault of a kind that starts after 1 s.
+// fault returns the scenario table of a fault that starts after 1 s.
 func fault(kind string, lines ...string) string {
 	return fmt.Sprintf("[[trouble]]\nkind = %q\nat = \"1s\"\n%s\n", kind, strings.Join(lines, "\n"))
 }
--- a/internal/testkit/rehearsal/golden_test.go
+++ b/internal/testkit/rehearsal/golden_test.go
@@ -17,15 +17,15 @@
 name = "other"
 `
 
-// TestGoldenRelaySettings pins the platform's settings in a relay's configuration: a key that is written differently
-// would leave the relay without the setting.
+// TestGoldenRelaySettings pins the platform's settings in a relay's configuration. If a key were misspelled, the relay
+// would run without the setting.
 func TestGoldenRelaySettings(t *testing.T) {
 	data, err := json.Marshal(newRelaySettings(parse(t, "2s", 2, twoCustomers)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var settings any
-	if err := json.Unmarshal(data, &settings); err != nil { // orders the keys
+	if err := json.Unmarshal(data, &settings); err != nil { // as maps, whose keys are marshalled in order
 		t.Fatal(err)
 	}
 	sorted, err := json.MarshalIndent(settings, "", " ")
--- a/internal/testkit/rehearsal/peerview.go
+++ b/internal/testkit/rehearsal/peerview.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	peerViewInterval = 500 * time.Millisecond
-	// A relay that does not answer by then, as one that is stalled, is passed over.
+	peerViewInterval = 500 * time.Millisecond // between two queries of a relay
+	// peerViewTimeout bounds a query. A relay that does not answer in time, such as a stalled one, is skipped until the
+	// next interval.
 	peerViewTimeout = 250 * time.Millisecond
 	maxPeerViewSize = 1 << 20 // bytes
 )
 
-// watchPeerViews records what a relay states of the others, until ctx ends.
+// watchPeerViews records what a relay reports about the other members of its fleet, until ctx ends.
 func (r *runner) watchPeerViews(ctx context.Context, relay *relay) {
 	client := &http.Client{Timeout: peerViewTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for sleepUntil(ctx, time.Now().Add(peerViewInterval)) {
 		status, delay, err := queryFleetStatus(ctx, client, relay.fleet.adminAddr)
 		if err != nil || status.Status == nil {
-			continue // it is down or stalled, or does not listen yet
+			continue // the relay is down, stalled or not listening yet
 		}
 		for _, member := range status.Members {
 			r.record.Add(eventlog.Event{
@@ -40,7 +41,7 @@
 	}
 }
 
-// queryFleetStatus queries a relay; delay bounds how old its answer is.
+// queryFleetStatus requests a relay's view of its fleet. The returned status is at most delay old.
 func queryFleetStatus(
 	ctx context.Context, client *http.Client, addr string,
 ) (status fleet.Status, delay time.Duration, err error) {
@@ -53,7 +54,7 @@
 	if err != nil {
 		return fleet.Status{}, 0, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // the body was only read
 	err = json.NewDecoder(io.LimitReader(response.Body, maxPeerViewSize)).Decode(&status)
 	return status, time.Since(startedAt), err
 }
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -1,5 +1,5 @@
-// Package rehearsal runs a scenario: it starts real relays and fakes for everything that they talk to, submits
-// messages, injects the faults of the plan, and has the checker check the record.
+// Package rehearsal runs a scenario with real relay processes. It starts the relays and fakes of all their peers,
+// submits messages, injects the faults of the plan, and passes the record to the checker.
 package rehearsal
 
 import (
@@ -17,32 +17,32 @@
 
 const defaultReadyTimeout = 30 * time.Second
 
-// RecordName is the file of a rehearsal's folder that holds its record.
+// RecordName is the name of the record file in a rehearsal's folder.
 const RecordName = "record.jsonl"
 
-// RecordingsName is the folder, in each relay's own, that holds what its flight recorder wrote.
+// RecordingsName is the name of the folder, in each relay's folder, with the recordings of the relay's flight recorder.
 const RecordingsName = "recordings"
 
 const planName = "plan.txt"
 
 // Options are the options of a rehearsal.
 type Options struct {
-	Dir    string // the folder of everything that is kept; created if it does not exist
-	Binary string // the relay's program
-	Seed   uint64 // 0: the scenario's own
-	Port   int    // the first relay listens on this port, the others on those after it; 0: on any that are free
-	// Progress is called once a second; nil: not at all.
+	Dir    string // folder for the plan, the record and the relays; created if it does not exist
+	Binary string // path of the relay's program
+	Seed   uint64 // of the plan; 0: the scenario's seed
+	Port   int    // of the first relay; the others use the ports that follow; 0: any free ports
+	// Progress is called once a second, unless it is nil.
 	Progress        func(Progress)
-	ReadyTimeout    time.Duration // for a relay to start; 0: 30 s
-	RecordDecisions bool          // the relays' flight recorders write everything
+	ReadyTimeout    time.Duration // for a relay to become ready; 0: 30 s
+	RecordDecisions bool          // have the relays' flight recorders write everything
 }
 
 // Progress is the progress of a rehearsal.
 type Progress struct {
-	Elapsed, Length time.Duration
-	Submitted       int      // messages
-	ActiveFaults    []string // their names
-	Settling        bool     // nothing is submitted any more
+	Elapsed, Length time.Duration // time since the start, and length of the scenario
+	Submitted       int           // messages
+	ActiveFaults    []string      // names of the faults
+	Settling        bool          // the length has passed, and the last final answers are awaited
 }
 
 // Result is the result of a rehearsal.
@@ -56,8 +56,8 @@
 	return Result{Header: header, Events: events, Verdict: checker.Check(header, events)}
 }
 
-// Run runs a scenario. If the rehearsal itself fails or ctx ends, it returns the error and what was recorded until
-// then, which is also in the folder. A violated rule is not an error.
+// Run runs a scenario. If the rehearsal itself fails or ctx ends, it returns the error and a result for the events
+// until then, which are also in the record file. A violated rule is not an error.
 func Run(ctx context.Context, file scenario.File, options Options) (result Result, err error) {
 	if options.ReadyTimeout == 0 {
 		options.ReadyTimeout = defaultReadyTimeout
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// ReadRecord reads the record of a rehearsal's folder, and checks it again.
+// ReadRecord reads the record in a rehearsal's folder, and checks it again.
 func ReadRecord(dir string) (Result, error) {
 	file, err := os.Open(filepath.Join(dir, RecordName))
 	if err != nil {
 		return Result{}, fmt.Errorf("rehearsal: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	header, events, err := eventlog.Read(file)
 	if err != nil {
 		return Result{}, err
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -21,11 +21,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// binary is the program of the real relay, which is built once.
+// binary is the path of the real relay's program, which is built once for all tests.
 var binary string
 
-// TestMain also makes this binary a relay that violates one rule, for the tests that run it again: see badrelay_test.go
-// and badRelayScript.
+// TestMain runs the tests. If badModeVariable is set, it runs a badRelay instead: badRelayScript starts this binary in
+// that way.
 func TestMain(m *testing.M) {
 	if mode := os.Getenv(badModeVariable); mode != "" {
 		runBadRelay(badMode(mode))
@@ -37,7 +37,7 @@
 func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "rehearsal")
 	if err == nil {
-		defer func() { _ = os.RemoveAll(dir) }() // the system clears its temporary folder too
+		defer func() { _ = os.RemoveAll(dir) }() // the system also clears its temporary folder
 		binary, err = buildRelay(dir)
 	}
 	if err != nil {
@@ -64,8 +64,8 @@
 	return path, nil
 }
 
-// baseScenario has two kinds of destination; its length and the number of relays are to be filled in, and further
-// tables follow it.
+// baseScenario is a format string for the length and the number of relays of a scenario with two kinds of destination.
+// Tests append further tables.
 const baseScenario = `
 name = "test"
 length = "%s"
@@ -141,7 +141,7 @@
 	return f
 }
 
-// checkNoProcessLeft checks that no process of a rehearsal in dir is left.
+// checkNoProcessLeft checks that no process of a rehearsal in dir is still running.
 func checkNoProcessLeft(t *testing.T, dir string) {
 	t.Helper()
 	entries, err := filepath.Glob("/proc/[0-9]*/environ")
@@ -150,13 +150,14 @@
 	}
 	for _, path := range entries {
 		if env, err := os.ReadFile(path); err == nil && strings.Contains(string(env), "ROUTER_STATE="+dir) {
-			t.Errorf("left behind: %s", path)
+			t.Errorf("process still running: %s", path)
 		}
 	}
 }
 
-// manyFaults: 58 % of the endpoints are replaced while load runs, some of the new ones at old addresses, a destination
-// recovers and needs to warm up, another answers with a Retry-After, and relays are restarted both ways.
+// manyFaults replaces 58 % of the endpoints under load, some of them by new endpoints at the old addresses. One
+// destination crashes and needs to warm up, and another rejects calls with a Retry-After. One relay is killed and
+// restarts; the other reloads its configuration and is then restarted by SIGTERM.
 const manyFaults = `
 [[traffic]]
 from = "1s"
@@ -202,7 +203,7 @@
 relays = [2]
 `
 
-// The shortened rehearsal of CI.
+// A short rehearsal with many faults, for CI. The relays must keep every rule.
 func TestShortRehearsalKeepsEveryRule(t *testing.T) {
 	dir := t.TempDir()
 	progressCount := 0
@@ -218,17 +219,17 @@
 	verdict := result.Verdict
 	for _, rule := range verdict.Rules {
 		if rule.State != checker.Held {
-			t.Errorf("%s: %s after %d occasions %+v", rule.Rule, rule.State, rule.Exercised, rule.Violations)
+			t.Errorf("%s: %s after %d checks, violations %+v", rule.Rule, rule.State, rule.Exercised, rule.Violations)
 		}
 	}
 	if !verdict.OK() || verdict.Service.Overall < 0.7 || progressCount < 5 {
-		t.Errorf("errors of the run %v, inconclusive since %v, service %.3f, progress %d times",
+		t.Errorf("run errors %v, inconclusive because %v, service %.3f, progress reported %d times",
 			verdict.RunErrors, verdict.InconclusiveReasons, verdict.Service.Overall, progressCount)
 	}
 	again, err := ReadRecord(dir)
 	if err != nil || len(again.Events) != len(result.Events) ||
 		again.Verdict.Service.Overall != verdict.Service.Overall {
-		t.Errorf("read again: %d events for %d, %v", len(again.Events), len(result.Events), err)
+		t.Errorf("record read again: %d events, want %d; %v", len(again.Events), len(result.Events), err)
 	}
 	checkNoProcessLeft(t, dir)
 	// Each relay was restarted once, one of them by SIGKILL.
@@ -237,7 +238,8 @@
 	}
 }
 
-// checkRecordingsReplay checks that a folder has a number of recordings, in which equal events give equal actions.
+// checkRecordingsReplay checks that a folder has the wanted number of recordings, and that replaying the events of each
+// one gives the recorded actions.
 func checkRecordingsReplay(t *testing.T, dir string, want int) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+flightrecorder.FileExtension))
@@ -256,8 +258,8 @@
 	}
 }
 
-// A new endpoint that gets the address of a removed one is called there, and no call for the one reaches the other
-// unnoticed.
+// A new endpoint that gets the address of a removed one must be called at that address, and the run must show no
+// violation and no run error.
 func TestNewEndpointAtAnOldAddress(t *testing.T) {
 	f := parse(t, "6s", 1, `
 [[trouble]]
@@ -317,7 +319,7 @@
 	if err != nil || !r.Verdict.OK() {
 		t.Fatalf("%v, %+v", err, r.Verdict)
 	}
-	// While discovery is down no relay is notified; what changed meanwhile is notified when it is back.
+	// No relay is notified while discovery is down. The changes of that time are delivered when discovery is back.
 	notified := 0
 	for _, e := range r.Events {
 		if e.Kind == eventlog.RelayNotified && e.At > time.Second+500*time.Millisecond {
@@ -327,7 +329,7 @@
 		}
 	}
 	if notified == 0 {
-		t.Error("never notified")
+		t.Error("no relay was notified after the outage of discovery")
 	}
 }
 
@@ -390,7 +392,7 @@
 	}
 	options := Options{Dir: file, Binary: binary}
 	if _, err := Run(context.Background(), parse(t, "2s", 1, ""), options); err == nil {
-		t.Error("a file for a folder")
+		t.Error("no error for a file in place of the folder")
 	}
 }
 
@@ -412,7 +414,7 @@
 		t.Errorf("%d events, %v", len(again.Events), readErr)
 	}
 	if again.Verdict.OK() || again.Verdict.ForRule(checker.NoMessageLost).State != checker.Inconclusive {
-		t.Errorf("judged: %+v", again.Verdict)
+		t.Errorf("verdict of an interrupted run: %+v", again.Verdict)
 	}
 	checkNoProcessLeft(t, dir)
 }
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -22,25 +22,25 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The times of a restart, as on the platform.
+// Timing of restarts, as on the platform, and of health checks.
 const (
 	clientStopDelay    = 300 * time.Millisecond  // from SIGTERM until clients make no new connections
 	terminateTimeout   = 3700 * time.Millisecond // from SIGTERM until SIGKILL
-	restartDelay       = 600 * time.Millisecond  // from the end of a process to the next
+	restartDelay       = 600 * time.Millisecond  // from the end of a process to the start of the next
 	readyPollInterval  = 10 * time.Millisecond
 	healthCheckTimeout = time.Second
 )
 
 const (
 	logName    = "log"
-	maxLogTail = 2 << 10 // bytes of the log in an error
+	maxLogTail = 2 << 10 // bytes of the log that an error quotes
 )
 
-// relay is one relay under its name and address, over its restarts.
+// relay is a relay with a fixed name and address. Each restart gives it a new process.
 type relay struct {
 	name            string
 	binary          string
-	dir             string // of its configuration, state and log
+	dir             string // holds its configuration, state and log
 	addr            string
 	releaseAddr     func()
 	readyTimeout    time.Duration
@@ -49,9 +49,9 @@
 	agent           *fake.DiscoveryAgent
 	clients         *fake.Clients
 	file            scenario.File
-	fleet           *fleetMember // nil: it belongs to none
+	fleet           *fleetMember // nil: the relay is in no fleet
 
-	mu     sync.Mutex // serializes what starts, stops and signals the process
+	mu     sync.Mutex // serializes starting, stopping and signalling the process
 	cmd    *exec.Cmd
 	exited chan struct{} // closed when the process has ended
 }
@@ -62,7 +62,9 @@
 func reserveAddress(port int) (addr string, release func(), err error) {
 	addr, release, err = fake.ReserveAddress("127.0.0.1:" + strconv.Itoa(port))
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return "", nil, fmt.Errorf("rehearsal: port %d is in use: choose another with -port, or none: %w", port, err)
+		return "", nil, fmt.Errorf(
+			"rehearsal: port %d is in use; choose another with --port, or none for a free one: %w", port, err,
+		)
 	}
 	if err != nil {
 		return "", nil, fmt.Errorf("rehearsal: %w", err)
@@ -96,8 +98,8 @@
 	if err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
-	// A relay ends by the steps of the plan and by stop, not with a context.
+	defer func() { _ = log.Close() }() // the process has its own descriptor
+	// Steps of the plan and stop end the process, rather than a context.
 	cmd := relayprocess.Command(context.Background(), relayprocess.Settings{
 		Program:   r.binary,
 		Folder:    r.dir,
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// waitForExit waits for the end of a process and records it.
+// waitForExit waits until a process has ended, and records its exit status.
 func (r *relay) waitForExit(cmd *exec.Cmd) {
 	cause := ""
 	if err := cmd.Wait(); err != nil {
@@ -146,7 +148,7 @@
 	r.record.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
 }
 
-// waitUntilReady polls the relay's health check.
+// waitUntilReady polls the relay's health check until the relay is ready, its process has ended or the timeout passes.
 func (r *relay) waitUntilReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.readyTimeout)
 	defer cancel()
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// logTail returns the end of the relay's log as the end of an error; "" if there is none.
+// logTail returns a suffix for an error text that quotes the end of the relay's log; "" if the log is empty.
 func (r *relay) logTail() string {
 	data, err := os.ReadFile(filepath.Join(r.dir, logName))
 	if err != nil || len(data) == 0 {
@@ -175,7 +177,7 @@
 	return "; its log ends with:\n" + strings.TrimSpace(string(data[max(0, len(data)-maxLogTail):]))
 }
 
-// hasExited returns whether there is no process, or it has ended.
+// hasExited reports whether the process has ended or was never started.
 func (r *relay) hasExited() bool {
 	if r.cmd == nil {
 		return true
@@ -188,7 +190,7 @@
 	}
 }
 
-// signal records that the process changes to a state, and sends it a signal.
+// signal records the state that a signal brings the process to, and sends the signal.
 func (r *relay) signal(signal syscall.Signal, state string) error {
 	r.recordState(state)
 	if err := r.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -197,21 +199,21 @@
 	return nil
 }
 
-// kill ends the process at once, and waits for its end.
+// kill kills the process and waits until it has ended.
 func (r *relay) kill() {
 	if r.hasExited() {
 		return
 	}
-	_ = r.signal(syscall.SIGKILL, eventlog.StateKill) // it may have ended already
+	_ = r.signal(syscall.SIGKILL, eventlog.StateKill) // the process may have ended already
 	<-r.exited
 }
 
-// terminate ends the process gracefully, or by force after the timeout.
+// terminate sends SIGTERM, and kills the process if it has not ended after terminateTimeout.
 func (r *relay) terminate() {
 	if r.hasExited() {
 		return
 	}
-	_ = r.signal(syscall.SIGTERM, eventlog.StateTerm) // it may have ended already
+	_ = r.signal(syscall.SIGTERM, eventlog.StateTerm) // the process may have ended already
 	stopClients := time.AfterFunc(clientStopDelay, func() { r.clients.SetAccepting(false) })
 	defer stopClients.Stop()
 	select {
@@ -221,7 +223,7 @@
 	}
 }
 
-// stop ends the process for good.
+// stop ends the process at the end of the rehearsal.
 func (r *relay) stop(graceful bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,7 +238,7 @@
 	}
 }
 
-// restart ends the process and starts it again with a state folder.
+// restart ends the process, replaces its state folder if the fault requires it, and starts the relay again.
 func (r *relay) restart(ctx context.Context, graceful bool, folder scenario.StateFolder) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,7 +252,7 @@
 	return r.start(ctx)
 }
 
-// reload has the relay read its configuration again.
+// reload writes the configuration file and sends SIGHUP, on which the relay reads the file again.
 func (r *relay) reload() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -260,14 +262,14 @@
 	return r.signal(syscall.SIGHUP, eventlog.StateHUP)
 }
 
-// stall stops the process without ending it.
+// stall pauses the process with SIGSTOP.
 func (r *relay) stall() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.signal(syscall.SIGSTOP, eventlog.StateStop)
 }
 
-// resume lets a stalled process go on.
+// resume continues a stalled process with SIGCONT.
 func (r *relay) resume() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testkit/rehearsal/relayconfig.go
+++ b/internal/testkit/rehearsal/relayconfig.go
@@ -16,9 +16,9 @@
 const (
 	operatorFileName = "operator.toml"
 	relayCores       = 1
-	// answerSlack is the time that the platform grants an answer beyond a message's deadline.
+	// answerSlack is how long after a message's deadline the platform still accepts an answer.
 	answerSlack = 20 * time.Millisecond
-	// recordingsMB is the room for the recordings of a relay, in megabytes.
+	// recordingsMB bounds the size of a relay's recordings, in megabytes.
 	recordingsMB = 1024
 )
 
@@ -33,7 +33,7 @@
 	Settings  relaySettings     `json:"settings"`
 }
 
-// relayLimits are the resources of a relay.
+// relayLimits are the resources that a relay may use.
 type relayLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -41,7 +41,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// relaySettings are the platform's settings; internal/simwire says what they mean.
+// relaySettings are the platform's settings; package internal/simwire describes them.
 type relaySettings struct {
 	Bounds               settingsBounds `json:"bounds"`
 	Extra                settingsExtra  `json:"extra"`
@@ -73,8 +73,8 @@
 
 type settingsExtra struct {
 	MaxConcurrentCalls int    `json:"call_slots"`
-	MaxMessagesPerCall []int  `json:"per_call"`        // by kind
-	SeparateEndpoints  []bool `json:"separate_routes"` // by kind
+	MaxMessagesPerCall []int  `json:"per_call"`        // by kind of destination
+	SeparateEndpoints  []bool `json:"separate_routes"` // by kind of destination
 	LossWeights        string `json:"loses_worth"`
 }
 
@@ -111,7 +111,7 @@
 	Quota        float64 `json:"quota_per_s"`
 }
 
-// milliseconds is a duration as the platform's configuration has it.
+// milliseconds is a duration in the platform's configuration.
 type milliseconds float64
 
 func inMilliseconds(d scenario.Duration) milliseconds {
@@ -170,7 +170,8 @@
 	return config
 }
 
-// newSettingsRules returns the rules, with the slowest warm-up of all kinds of destination.
+// newSettingsRules returns the rules. Since they have one warm-up for all destinations, it is the slowest of all kinds:
+// the lowest initial capacity and the longest duration.
 func newSettingsRules(file scenario.File) settingsRules {
 	rules := settingsRules{
 		DrainGrace:            inMilliseconds(file.Settings.DrainGrace),
@@ -205,7 +206,7 @@
 	return configs
 }
 
-// semantics returns the platform's word for an effect.
+// semantics returns the platform's name for an effect.
 func semantics(effect eventlog.Effect) string {
 	switch effect {
 	case eventlog.Idempotent:
@@ -230,7 +231,7 @@
 	return configs
 }
 
-// writeConfig writes the relay's configuration file atomically: a relay that reloads it must not read half of it.
+// writeConfig writes the relay's configuration file atomically, so that a relay that reloads it reads a whole file.
 func (r *relay) writeConfig() error {
 	data, err := json.MarshalIndent(r.config(), "", " ")
 	if err != nil {
@@ -246,7 +247,8 @@
 	return nil
 }
 
-// writeOperatorFile writes the operator's file if there is anything to set, and returns the arguments that name it.
+// writeOperatorFile writes the operator's file if the relay needs one, and returns the arguments that name the file to
+// the relay.
 func (r *relay) writeOperatorFile() (args []string, err error) {
 	text := ""
 	if r.recordDecisions {
--- a/internal/testkit/rehearsal/runner.go
+++ b/internal/testkit/rehearsal/runner.go
@@ -20,9 +20,9 @@
 const (
 	progressInterval   = time.Second
 	clockCheckInterval = time.Second
-	minClockStep       = 100 * time.Millisecond // a smaller difference between the clocks is drift
+	minClockStep       = 100 * time.Millisecond // a smaller difference between wall and monotonic clock is drift
 	settlePollInterval = 50 * time.Millisecond
-	settleMargin       = time.Second // beyond the time in which each message must end
+	settleMargin       = time.Second // added to the time within which each message needs its final answer
 )
 
 // runner is a rehearsal in progress.
@@ -33,15 +33,15 @@
 	world      *fake.World
 	discovery  *discovery
 	relays     map[string]*relay
-	relayOrder []*relay                    // as numbered in the plan
+	relayOrder []*relay                    // indexed as in the plan
 	links      map[string]*faultproxy.Link // between the relays of a fleet, by scenario.LinkName
 
 	mu           sync.Mutex
 	submitted    int
 	activeFaults []string
-	err          error // the first that occurred beside the plan
+	err          error // the first error that was passed to fail
 
-	tasks  sync.WaitGroup // that go on beside the plan
+	tasks  sync.WaitGroup // goroutines that run concurrently with the plan
 	cancel context.CancelCauseFunc
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// run starts everything, plays the plan, and stops everything again, whatever happens.
+// run starts endpoints and relays, executes the plan, and stops everything again, also after an error.
 func (r *runner) run(parent context.Context) (err error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	r.cancel = cancel
@@ -82,7 +82,7 @@
 	return r.failure(ctx)
 }
 
-// failure returns why the rehearsal cannot go on; nil if it can.
+// failure returns the error that ended the rehearsal early; nil if there is none.
 func (r *runner) failure(ctx context.Context) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// fail ends the rehearsal with an error.
+// fail ends the rehearsal with an error. Later errors are dropped.
 func (r *runner) fail(err error) {
 	r.mu.Lock()
 	if r.err == nil {
@@ -105,7 +105,7 @@
 	r.cancel(err)
 }
 
-// sleepUntil returns false if ctx ends before.
+// sleepUntil waits until a deadline, and returns false if ctx ends first.
 func sleepUntil(ctx context.Context, deadline time.Time) bool {
 	if wait := time.Until(deadline); wait > 0 {
 		timer := time.NewTimer(wait)
@@ -118,7 +118,8 @@
 	return ctx.Err() == nil
 }
 
-// start starts the endpoints, the discovery agents and the relays, and waits until these are ready.
+// start starts the endpoints, the discovery agents and the relays, and waits until the relays are ready. In a fleet it
+// also starts the links and the queries of peer views.
 func (r *runner) start(ctx context.Context) error {
 	for _, endpoint := range r.plan.Endpoints {
 		if endpoint.AddedLater {
@@ -164,11 +165,11 @@
 	return err
 }
 
-// addRelay prepares the relay with an index, its discovery agent and its clients. The relay is not started.
+// addRelay prepares the relay with an index, its discovery agent and its clients. It does not start the relay.
 func (r *runner) addRelay(ctx context.Context, index int) error {
 	name := scenario.RelayName(index + 1)
 	dir := filepath.Join(r.options.Dir, name)
-	// Messages that an earlier rehearsal left in the folder are none of this one.
+	// An earlier rehearsal may have left messages in the folder that are unknown to this one.
 	if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(stateDir(dir), 0o700)); err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
@@ -199,12 +200,12 @@
 	}
 	r.relays[name] = added
 	r.relayOrder = append(r.relayOrder, added)
-	updates := r.discovery.addRelay(name, len(r.plan.Steps)) // each step makes one update at most
+	updates := r.discovery.addRelay(name, len(r.plan.Steps)) // each step makes at most one update
 	r.tasks.Go(func() { deliverUpdates(ctx, agent, updates) })
 	return nil
 }
 
-// stop stops the relays, gracefully if the rehearsal succeeded, and the fakes.
+// stop stops the relays and then the fakes. The relays end gracefully if graceful is true, else by SIGKILL.
 func (r *runner) stop(graceful bool) {
 	var relays sync.WaitGroup
 	for _, relay := range r.relayOrder {
@@ -213,17 +214,17 @@
 	relays.Wait()
 	for _, relay := range r.relayOrder {
 		relay.clients.Close()
-		_ = relay.agent.Close() // the relay has ended: nothing listens to the agent
+		_ = relay.agent.Close() // the relay has ended and no longer uses the agent
 		relay.releaseAddr()
 	}
 	r.world.Close()
 	r.tasks.Wait()
 	for _, link := range r.links {
-		_ = link.Close() // both of its relays have ended
+		_ = link.Close() // the relays at both ends have ended
 	}
 }
 
-// executeSteps executes the steps of the plan when they are due.
+// executeSteps executes the steps of the plan when they are due, until ctx ends.
 func (r *runner) executeSteps(ctx context.Context, startedAt time.Time) {
 	for _, step := range r.plan.Steps {
 		if !sleepUntil(ctx, startedAt.Add(step.At)) {
@@ -235,7 +236,7 @@
 	}
 }
 
-// submitArrivals submits the messages when they are due, and returns at the end of the scenario's length.
+// submitArrivals submits the messages when they are due, and returns when the scenario's length has passed or ctx ends.
 func (r *runner) submitArrivals(ctx context.Context, startedAt time.Time) {
 	for i, arrival := range r.plan.Arrivals {
 		if !sleepUntil(ctx, startedAt.Add(arrival.At)) {
@@ -249,7 +250,7 @@
 	sleepUntil(ctx, startedAt.Add(r.plan.File.Length.AsDuration()))
 }
 
-// settle waits until all messages must have ended.
+// settle waits until every message has its final answer, or until the time at which the last one is overdue.
 func (r *runner) settle(ctx context.Context) {
 	for _, relay := range r.relayOrder {
 		relay.clients.Wait()
@@ -269,7 +270,8 @@
 	}
 }
 
-// reportProgress reports the progress, and flushes the record, so that a run that is killed leaves what it recorded.
+// reportProgress reports the progress once a second. It also flushes the record, so that the record of a run that is
+// killed lacks at most the last second.
 func (r *runner) reportProgress(ctx context.Context, startedAt time.Time) {
 	for n := 1; sleepUntil(ctx, startedAt.Add(time.Duration(n)*progressInterval)); n++ {
 		if err := r.record.Flush(); err != nil {
@@ -295,8 +297,8 @@
 	}
 }
 
-// watchClock records steps of the wall clock. The rehearsal does not depend on it, but the relays' deadlines over a
-// restart do.
+// watchClock records steps of the wall clock. The rehearsal does not depend on the wall clock, but relays may: without
+// a boot clock they carry the deadlines of stored messages over a restart by the wall clock.
 func (r *runner) watchClock(ctx context.Context) {
 	for {
 		before := time.Now()
--- a/internal/testkit/rehearsal/statefolder.go
+++ b/internal/testkit/rehearsal/statefolder.go
@@ -9,15 +9,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// olderStateName is the copy of a relay's state folder from its first start.
+// olderStateName is the name of the folder with a copy of the relay's state folder as it was after the first start.
 const olderStateName = "state.older"
 
-// saveOlderState copies the state folder as it is now.
+// saveOlderState copies the present state folder, for restarts with StateFolderOlder.
 func (r *relay) saveOlderState() error {
 	return copyFiles(stateDir(r.dir), filepath.Join(r.dir, olderStateName))
 }
 
-// replaceState replaces the state folder that the last process left.
+// replaceState replaces the state folder that the last process left, unless the folder is kept.
 func (r *relay) replaceState(folder scenario.StateFolder) error {
 	state := stateDir(r.dir)
 	switch folder {
@@ -30,7 +30,7 @@
 	}
 }
 
-// copyFiles copies the regular files of a folder, without its subfolders.
+// copyFiles copies the regular files of a folder to another, without subfolders.
 func copyFiles(from, to string) error {
 	entries, err := os.ReadDir(from)
 	if err != nil {
--- a/internal/testkit/rehearsal/steps.go
+++ b/internal/testkit/rehearsal/steps.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// execute executes a step of the plan. What takes time goes on beside the plan.
+// execute executes a step of the plan. Restarts of relays take time and run concurrently with the steps that follow.
 func (r *runner) execute(ctx context.Context, step scenario.Step) error {
 	switch step.Op {
 	case scenario.OpFaultBegins, scenario.OpFaultEnds:
--- a/internal/testkit/rehearsal/verdict_test.go
+++ b/internal/testkit/rehearsal/verdict_test.go
@@ -22,7 +22,8 @@
 destinations = [1]
 `
 
-// A backlog for a destination that recovers with little capacity: the bad relay calls it at once, and again and again.
+// A destination recovers with little capacity while there is a backlog of messages for it. In modeOverload, the relay
+// sends the whole backlog at once and retries almost without a pause.
 const backlogOfRecovery = `
 [[traffic]]
 from = "1s"
@@ -37,12 +38,12 @@
 destinations = [1]
 `
 
-// The whole kit finds of real processes which rule each violates, and finds nothing of the same process that violates
-// none.
+// Each badRelay runs as a real process. The checker must find exactly the rule that the relay violates, and nothing for
+// the relay that keeps all rules.
 func TestBadRelaysViolateTheirRule(t *testing.T) {
 	for _, c := range []struct {
 		mode badMode
-		want checker.Rule // the only one that is violated; "": none
+		want checker.Rule // the only rule that is violated; "": none
 	}{
 		{modeNone, ""},
 		{modeLoseMessages, checker.NoMessageLost},
@@ -99,6 +100,6 @@
 		}
 	}
 	if len(verdict.RunErrors)+len(verdict.InconclusiveReasons) > 0 {
-		t.Errorf("errors of the run %v, inconclusive since %v", verdict.RunErrors, verdict.InconclusiveReasons)
+		t.Errorf("run errors %v, inconclusive because %v", verdict.RunErrors, verdict.InconclusiveReasons)
 	}
 }
