--- a/internal/testkit/discoverytest/lists.go
+++ b/internal/testkit/discoverytest/lists.go
@@ -1,4 +1,4 @@
-// Package discoverytest writes endpoint lists for tests, in the form in which discovery gives them.
+// Package discoverytest generates endpoint lists for tests, in the JSON form that discovery sends.
 package discoverytest
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ListJSON returns a full list of so many destinations with two endpoints each, that begins with some other entries.
+// ListJSON returns a full endpoint list: the entries of first, followed by two ready endpoints of each destination.
 func ListJSON(version, destinations int, first ...string) []byte {
 	entries := make([]string, 0, len(first)+2*destinations)
 	entries = append(entries, first...)
@@ -20,10 +20,10 @@
 	return b.Bytes()
 }
 
-// hashStep spreads endpoint numbers over all 32 bits, so that ids come in no order.
+// hashStep is the factor that spreads endpoint numbers over all 32 bits, so that the ids in a list are not sorted.
 const hashStep = 2654435761
 
-// EndpointJSON returns the entry of an endpoint at which nobody answers.
+// EndpointJSON returns the entry of the i-th endpoint. Nothing listens at its address.
 func EndpointJSON(i, destination int, state string) string {
 	const format = `{"id":"h-%08x","addr":"127.%d.%d.%d:1","zone":"%c","kind":"gateway","cell":%d,"state":%q,` +
 		`"weight":500.0,"started_ms":0}`
--- a/internal/testkit/relayprocess/config.go
+++ b/internal/testkit/relayprocess/config.go
@@ -6,15 +6,15 @@
 	"os"
 )
 
-// Settings of BaseSettings that callers look up to change them.
+// Keys of BaseSettings for callers that change settings.
 const (
 	BoundsSetting   = "bounds"
 	RulesSetting    = "rules"
 	ServicesSetting = "services"
 )
 
-// BaseSettings returns the platform's settings of one relay with one class of messages and one tenant. Callers change
-// what they need.
+// BaseSettings returns the platform's settings for a fleet of one relay, with one class of messages and one tenant.
+// Callers may change the result.
 func BaseSettings() map[string]any {
 	return map[string]any{
 		BoundsSetting: map[string]any{
@@ -60,7 +60,7 @@
 func WriteConfig(folder string, config map[string]any) error {
 	data, err := json.Marshal(config)
 	if err != nil {
-		return fmt.Errorf("configuration of a relay: %w", err)
+		return fmt.Errorf("relay configuration in %s: %w", folder, err)
 	}
 	return os.WriteFile(ConfigFile(folder), data, 0o600)
 }
--- a/internal/testkit/relayprocess/relayprocess.go
+++ b/internal/testkit/relayprocess/relayprocess.go
@@ -1,5 +1,6 @@
-// Package relayprocess runs the relay as a process of its own for tests and measurements: its configuration and
-// environment, its health, messages for it, and what it uses of memory, processor and disk.
+// Package relayprocess runs the relay as a separate process for tests and measurements. It writes the relay's
+// configuration, sets its environment, checks its health, builds requests that submit messages, and measures its use of
+// memory, processor and disk.
 package relayprocess
 
 import (
@@ -22,30 +23,31 @@
 	configFile  = "config.json"
 )
 
-// errNoSchedstat is returned if the kernel does not count processor time by thread.
-var errNoSchedstat = errors.New("the system does not tell what a thread has used")
+// errNoSchedstat means that /proc has no schedstat files for a process: the kernel does not count processor time by
+// thread, or the process does not exist.
+var errNoSchedstat = errors.New("/proc has no schedstat files for the threads of the process")
 
-// Memory fields of the kernel's status file of a process.
+// Fields of /proc/PID/status that Memory can read.
 const (
 	ResidentMemory = "VmRSS"
 	PeakMemory     = "VmHWM"
 )
 
-// Settings are what a relay process is started with.
+// Settings configure a relay process.
 type Settings struct {
-	Program   string // the binary
-	Folder    string // has the relay's configuration and state: ConfigFile and StateFolder
-	Addr      string // that the relay listens on
-	Discovery string // the address of discovery
+	Program   string // path of the binary
+	Folder    string // holds the relay's configuration and state: see ConfigFile and StateFolder
+	Addr      string // address that the relay listens on
+	Discovery string // address of discovery
 }
 
-// StateFolder is the relay's state folder within its folder.
+// StateFolder returns the path of the state folder in a relay's folder.
 func StateFolder(folder string) string { return filepath.Join(folder, stateFolder) }
 
-// ConfigFile is the relay's configuration file within its folder.
+// ConfigFile returns the path of the configuration file in a relay's folder.
 func ConfigFile(folder string) string { return filepath.Join(folder, configFile) }
 
-// Command returns a command for the relay that has not been started. It is killed when ctx is done.
+// Command returns a command that runs the relay and has not been started. Its process is killed when ctx is done.
 func Command(ctx context.Context, s Settings) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, s.Program)
 	cmd.Env = append(os.Environ(),
@@ -57,13 +59,13 @@
 	return cmd
 }
 
-// Ready reports whether the relay answers its health check as ready.
+// Ready reports whether the relay answers its health check with status 200.
 func Ready(client *http.Client, addr string) bool {
 	response, err := client.Get("http://" + addr + "/_health")
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // It was only read: there is nothing to lose.
+	_ = response.Body.Close() // the body was only read
 	return response.StatusCode == http.StatusOK
 }
 
@@ -87,7 +89,7 @@
 	return 0, fmt.Errorf("memory of process %d: no field %s", pid, field)
 }
 
-// CPU returns the processor time of the threads that a running process has.
+// CPU returns the processor time that the present threads of a running process have used.
 func CPU(pid int) (time.Duration, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -104,7 +106,7 @@
 	return sum, nil
 }
 
-// threadCPU reads the first field of a schedstat file, nanoseconds on a processor.
+// threadCPU returns the first field of a schedstat file: the time that a thread has run on a processor, in nanoseconds.
 func threadCPU(path string) (time.Duration, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +120,8 @@
 	return time.Duration(nanoseconds), err
 }
 
-// FolderSize returns the bytes of all regular files in a folder and below. Files that vanish meanwhile do not count.
+// FolderSize returns the size of all regular files in a folder and its subfolders, in bytes. Files that are removed
+// during the walk do not count.
 func FolderSize(folder string) (float64, error) {
 	var size int64
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
--- a/internal/testkit/relayprocess/relayprocess_test.go
+++ b/internal/testkit/relayprocess/relayprocess_test.go
@@ -34,7 +34,7 @@
 		}
 		server.Close()
 		if Ready(server.Client(), addr) {
-			t.Error("a relay that is gone is ready")
+			t.Error("a closed server is reported ready")
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if resident < 1<<20 || peak < resident/2 {
-		t.Errorf("%g bytes, at the peak %g", resident, peak)
+		t.Errorf("%g bytes resident, peak %g", resident, peak)
 	}
 	if _, err := Memory(os.Getpid(), "VmNone"); err == nil {
 		t.Error("a field that does not exist is found")
--- a/internal/testkit/relayprocess/submission.go
+++ b/internal/testkit/relayprocess/submission.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Submission is a message of the class and the tenant of BaseSettings.
+// Submission is a message to submit, of the class and the tenant of BaseSettings.
 type Submission struct {
 	ID          string
 	Destination int
-	TimeLeft    time.Duration // until it expires, in whole milliseconds
+	TimeLeft    time.Duration // until the message expires; sent in whole milliseconds
 	Body        io.Reader
 }
 
