--- a/cmd/rehearse/report_test.go
+++ b/cmd/rehearse/report_test.go
@@ -21,7 +21,7 @@
 	endLine       = `{"at":9000000000,"k":"end"}` + "\n"
 )
 
-// A record is checked again without the run, and the exit status is that of the result.
+// The report command checks a stored record again, and exits with the status of the result.
 func TestReportOfARecord(t *testing.T) {
 	const started = headerLine + startLine + submittedLine + answeredLine
 	for _, c := range []struct {
@@ -33,7 +33,7 @@
 		{"rules held", started + noticeLine + endLine, exitHeld, "1 held"},
 		{"message lost", started + endLine, exitViolated, "BROKEN"},
 		{"record without end", started + noticeLine, exitInconclusive, "NOT JUDGED"},
-		{"invalid run", started + noticeLine + invalidLine + endLine, exitViolated, "VOID"},
+		{"invalid run", started + noticeLine + invalidLine + endLine, exitViolated, "INVALID RUN"},
 		{"no record", "nonsense\n", exitFailed, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testkit/report/endpointplots.go
+++ b/internal/testkit/report/endpointplots.go
@@ -15,24 +15,24 @@
 // maxEndpointPlots bounds how many endpoints have a plot, so that the page of a large run stays readable.
 const maxEndpointPlots = 60
 
-// endpointSeries are the calls that an endpoint received and could serve, in each bin of the timeline.
+// endpointSeries holds the calls a second that an endpoint received and could serve, in each bin of the timeline.
 type endpointSeries struct {
 	id          string
 	destination int
 	received    []float64
 	capacity    []float64
-	current     upstream.WarmUp
-	filled      int // bins of capacity that are set
+	current     upstream.WarmUp // capacity from the last change on
+	filled      int             // leading bins of capacity that are set
 }
 
-// fillCapacity sets the capacity of the bins before an end, from the present course of the warm-up.
+// fillCapacity sets the capacity of the bins before end that are not set yet, from the current warm-up.
 func (s *endpointSeries) fillCapacity(end int, bin time.Duration) {
 	for ; s.filled < end; s.filled++ {
 		s.capacity[s.filled] = s.current.CapacityAt(time.Duration(s.filled)*bin + bin/2)
 	}
 }
 
-// endpointPlots draws what each endpoint received against its capacity.
+// endpointPlots draws the calls that each endpoint received, together with its capacity.
 func endpointPlots(timeline *chart.Timeline, events []eventlog.Event) []template.HTML {
 	endpoints := newEndpointSeries(timeline, events)
 	var all []template.HTML
@@ -43,7 +43,7 @@
 			Unit:   "calls a second",
 			Height: 84,
 			Series: []chart.Series{
-				{Name: "can do", Colour: chart.Grey, Values: s.capacity},
+				{Name: "capacity", Colour: chart.Grey, Values: s.capacity},
 				{Name: "received", Colour: chart.Blue, Values: s.received},
 			},
 		}))
@@ -51,8 +51,8 @@
 	return all
 }
 
-// newEndpointSeries returns the series of all endpoints by destination, those of one destination in the order of their
-// first events.
+// newEndpointSeries returns the series of all endpoints, sorted by destination. Those of one destination are in the
+// order of the first CapacityChanged event of each endpoint.
 func newEndpointSeries(timeline *chart.Timeline, events []eventlog.Event) []*endpointSeries {
 	byID := map[string]*endpointSeries{}
 	var order []*endpointSeries
--- a/internal/testkit/report/page.go
+++ b/internal/testkit/report/page.go
@@ -21,7 +21,7 @@
 	Plots      []template.HTML
 }
 
-// serviceRow is a row of the table of a service's figures.
+// serviceRow is a row of the table with the service that clients got.
 type serviceRow struct{ Name, Value, Note string }
 
 // HTML writes the report of a run as one page, without scripts or references to other files.
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, runError := range result.RunErrors {
-		all = append(all, fmt.Sprintf("%v: VOID: %s", round(runError.At), runError.Text))
+		all = append(all, fmt.Sprintf("%v: INVALID RUN: %s", round(runError.At), runError.Text))
 	}
 	for _, reason := range result.InconclusiveReasons {
 		all = append(all, "not judged: "+reason)
@@ -58,13 +58,13 @@
 	return all
 }
 
-// serviceRows returns the figures of a service, for the text and the page.
+// serviceRows returns the table of a run's service, for the text and the page.
 func serviceRows(s checker.Service) []serviceRow {
 	return []serviceRow{
 		{
 			Name:  "whole run",
 			Value: fmt.Sprintf("%.3f", s.Overall),
-			Note: fmt.Sprintf("%d asked for: %d in full, %d in part, %d not delivered",
+			Note: fmt.Sprintf("%d submitted: %d in time, %d late, %d not delivered",
 				s.Submitted, s.DeliveredInTime, s.DeliveredLate, s.Undelivered),
 		},
 		{
@@ -78,14 +78,14 @@
 			Note:  cmp.Or(s.WorstCustomer, "none") + ", within its share",
 		},
 		{
-			Name:  "delivered after",
+			Name:  "latency",
 			Value: fmt.Sprint(round(s.LatencyP50)),
-			Note:  fmt.Sprintf("in the median; %v at 95 %%, %v at 99 %%", round(s.LatencyP95), round(s.LatencyP99)),
+			Note:  fmt.Sprintf("at the median; %v at 95 %%, %v at 99 %%", round(s.LatencyP95), round(s.LatencyP99)),
 		},
 		{
-			Name:  "hand-ins not taken on",
+			Name:  "submissions refused",
 			Value: fmt.Sprint(s.Rejected),
-			Note:  fmt.Sprintf("refused at the door; %d without an answer", s.Unanswered),
+			Note:  fmt.Sprintf("with 429 or 503; %d without an answer", s.Unanswered),
 		},
 		{
 			Name:  "notices",
@@ -115,13 +115,13 @@
 <h1>{{.Run.Scenario}}</h1>
 <p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.PlanDigest}}, {{.Run.Duration}}, ` +
 	`relays {{range .Run.Relays}}{{.}} {{end}}.</p>
-<table><tr><th>rule<th><th>occasions<th>breaks</tr>
+<table><tr><th>rule<th>state<th>checks<th>violations</tr>
 {{range .Rules}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.ViolationCount}}</tr>
 {{end}}</table>
 {{range .Paragraphs}}<pre>{{.}}</pre>{{end}}
 <table>{{range .Service}}<tr><td>{{.Name}}<td>{{.Value}}<td>{{.Note}}</tr>
 {{end}}</table>
-<p>Troubles are shaded, restarts marked: point at either for its name.</p>
+<p>Faults are shaded; restarts and overloads are marked. Hover over one to see its name.</p>
 {{range .Plots}}{{.}}
 {{end}}</html>
 `))
--- a/internal/testkit/report/plots.go
+++ b/internal/testkit/report/plots.go
@@ -28,13 +28,13 @@
 				timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
 			}
 		case eventlog.ServiceOverloaded:
-			timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Service + " fell over"})
+			timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Service + " overloaded"})
 		}
 	}
 	return timeline
 }
 
-// shadeFault begins the shade of a fault, or ends it.
+// shadeFault adds the shade of a fault that begins, or sets the end of the shade of a fault that ends.
 func shadeFault(timeline *chart.Timeline, e eventlog.Event) {
 	if e.State == eventlog.StateBegin {
 		timeline.Shades = append(timeline.Shades, chart.Shade{Name: e.Name, From: e.At, To: timeline.Length})
@@ -47,7 +47,7 @@
 	}
 }
 
-// isRestart reports whether a state of a process is a part of a restart.
+// isRestart reports whether a process enters this state during a restart.
 func isRestart(state string) bool {
 	return state == eventlog.StateTerm || state == eventlog.StateKill || state == eventlog.StateUp
 }
@@ -58,16 +58,16 @@
 	all := []template.HTML{
 		timeline.Draw(chart.Plot{
 			Title:  "service",
-			Unit:   "by when it was asked for",
+			Unit:   "by time due",
 			Height: 150,
 			Max:    1,
 			Series: []chart.Series{
-				{Name: "worth delivered over worth asked for", Colour: chart.Green, Values: messages.service},
+				{Name: "weight delivered / weight submitted", Colour: chart.Green, Values: messages.service},
 			},
 		}),
 		timeline.Draw(chart.Plot{
-			Title:  "delivered after",
-			Unit:   "seconds, by when it was asked for",
+			Title:  "latency",
+			Unit:   "seconds, by time due",
 			Height: 130,
 			Series: []chart.Series{
 				{Name: "95 %", Colour: chart.Orange, Values: messages.p95},
@@ -75,10 +75,10 @@
 			},
 		}),
 		timeline.Draw(chart.Plot{
-			Title:  "asked for",
+			Title:  "submitted",
 			Unit:   "messages a second",
 			Height: 110,
-			Series: []chart.Series{{Name: "first tries", Colour: chart.Blue, Values: messages.submitted}},
+			Series: []chart.Series{{Name: "messages", Colour: chart.Blue, Values: messages.submitted}},
 		}),
 		timeline.Draw(chart.Plot{
 			Title:   "calls",
@@ -91,12 +91,12 @@
 	return append(all, endpointPlots(timeline, events)...)
 }
 
-// messageSeries are the figures of the messages that were submitted in each bin of the timeline.
+// messageSeries holds the figures of the messages that were due in each bin of the timeline.
 type messageSeries struct {
-	submitted []float64 // a second
-	service   []float64 // weight delivered over weight submitted; NaN: none was submitted
+	submitted []float64 // messages a second
+	service   []float64 // weight delivered / weight submitted; NaN: nothing was submitted
 	median    []float64 // latency in seconds; NaN: no message was delivered
-	p95       []float64
+	p95       []float64 // as median, at 95 %
 }
 
 func newMessageSeries(timeline *chart.Timeline, messages []checker.MessageOutcome) messageSeries {
@@ -138,7 +138,7 @@
 	return latencies[n/2].Seconds(), latencies[min(n-1, n*95/100)].Seconds()
 }
 
-// The series of callSeries, in their order.
+// The indexes of the series that callSeries returns.
 const (
 	deliveredCalls = iota
 	rejectedCalls
@@ -146,7 +146,7 @@
 	unansweredCalls
 )
 
-// callSeries counts calls by outcome, at the time at which they were received.
+// callSeries returns the calls a second by outcome. A call counts at the time at which it was received.
 func callSeries(timeline *chart.Timeline, events []eventlog.Event) []chart.Series {
 	series := []chart.Series{
 		deliveredCalls:  {Name: "delivered", Colour: chart.Green, Values: timeline.Zeros()},
@@ -155,13 +155,13 @@
 		unansweredCalls: {Name: "no answer", Colour: chart.Grey, Values: timeline.Zeros()},
 	}
 	perSecond := 1 / timeline.Bin.Seconds()
-	receivedIn := map[uint64]int{} // bins, by call
+	receivedIn := map[uint64]int{} // the bin in which each call was received
 	for _, e := range events {
 		switch e.Kind {
 		case eventlog.CallReceived:
 			bin := timeline.BinAt(e.At)
 			receivedIn[e.Call] = bin
-			series[unansweredCalls].Values[bin] += perSecond // until it is answered
+			series[unansweredCalls].Values[bin] += perSecond // until the call is answered
 		case eventlog.CallAnswered:
 			if bin, ok := receivedIn[e.Call]; ok {
 				series[unansweredCalls].Values[bin] -= perSecond
@@ -172,7 +172,7 @@
 	return series
 }
 
-// outcomeOf returns the series of a call that was answered with a status.
+// outcomeOf returns the index of the series for calls that were answered with a status.
 func outcomeOf(status int) int {
 	switch status {
 	case http.StatusOK:
--- a/internal/testkit/report/report.go
+++ b/internal/testkit/report/report.go
@@ -22,7 +22,7 @@
 	TextName = "report.txt"
 )
 
-// maxEvidence bounds how many of the events that show a violation the text and the page quote.
+// maxEvidence bounds how many events the text and the page quote as evidence of a violation.
 const maxEvidence = 6
 
 // Write writes the report of a run into a folder, in all three forms.
@@ -54,10 +54,10 @@
 	}{h, result, result.OK()})
 }
 
-// round shortens a duration for readers.
+// round rounds a duration to milliseconds for display.
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// eventLine returns an event as it stands in the record, without its empty fields.
+// eventLine returns an event in the JSON form of the record, which omits empty fields.
 func eventLine(e eventlog.Event) string {
 	data, err := json.Marshal(e)
 	if err != nil {
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -18,7 +18,7 @@
 
 const second = time.Second
 
-// smallRun is a run in which a relay sends to an endpoint that is draining, during a fault whose name needs escaping.
+// smallRun is a run in which a relay calls a draining endpoint, during a fault whose name needs escaping in HTML.
 func smallRun() (eventlog.Header, []eventlog.Event, checker.Result) {
 	h := eventlog.Header{
 		Format:     eventlog.FormatVersion,
@@ -80,7 +80,7 @@
 		"drains are kept",
 		"BROKEN at 3s",
 		`event 8: {"at":3000000000,"k":"call"`,
-		"1 asked for: 1 in full",
+		"1 submitted: 1 in time",
 		"rules: 1 held, 1 BROKEN, 4 not exercised, service 1.000",
 	} {
 		if !strings.Contains(b.String(), want) {
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -25,13 +25,13 @@
 		text.addViolations(rule, events)
 	}
 	for _, runError := range result.RunErrors {
-		text.addf("\nVOID at %v: %s\n", round(runError.At), runError.Text)
+		text.addf("\nINVALID RUN at %v: %s\n", round(runError.At), runError.Text)
 	}
 	for _, reason := range result.InconclusiveReasons {
 		text.addf("\nNOT JUDGED: %s\n", reason)
 	}
 	if result.ClockSteps > 0 {
-		text.addf("\nthe wall clock was stepped %d times; nothing above goes by it\n", result.ClockSteps)
+		text.addf("\nthe wall clock was stepped %d times; no result above depends on it\n", result.ClockSteps)
 	}
 	text.addf("\n%s\n", Summary(result))
 	_, err := io.WriteString(w, text.String())
@@ -51,7 +51,7 @@
 		}
 	}
 	if len(result.RunErrors) > 0 {
-		text += " VOID,"
+		text += " INVALID RUN,"
 	}
 	return fmt.Sprintf("%s service %.3f", text, result.Service.Overall)
 }
@@ -69,20 +69,20 @@
 	rows.addf("scenario %s, seed %d, plan %s, %v, %d relays\n\n",
 		h.Scenario, h.Seed, h.PlanDigest, h.Duration, len(h.Relays))
 	for _, rule := range result.Rules {
-		detail := fmt.Sprintf("%d occasions", rule.Exercised)
+		detail := fmt.Sprintf("%d checks", rule.Exercised)
 		if rule.ViolationCount > 0 {
-			detail = fmt.Sprintf("%d breaks in %s", rule.ViolationCount, detail)
+			detail = fmt.Sprintf("%d violations in %s", rule.ViolationCount, detail)
 		}
 		rows.addf("%s\t%s\t%s\n", rule.Rule, rule.State, detail)
 	}
 	rows.addService(result.Service)
 	if views := result.PeerViews; views != nil {
-		rows.addf("beliefs of the fleet\t%s\t%d asked for, %d of them while cut off or stopped; ",
+		rows.addf("peer views\t%s\t%d recorded, %d of them while cut off or stopped; ",
 			views.State(), views.Queried, views.Disconnected)
-		rows.addf("%d younger than can be, %d not heard over sound links\n",
+		rows.addf("%d fresher than possible, %d stale over healthy links\n",
 			views.TooFresh.ViolationCount, views.Stale.ViolationCount)
 	}
-	rows.addf("load\t%v\tlate against its plan, at 99 %%\n", round(result.Service.LoadLagP99))
+	rows.addf("load lag\t%v\tbehind the plan, at 99 %%\n", round(result.Service.LoadLagP99))
 
 	aligned := tabwriter.NewWriter(&b.Builder, 2, 0, 2, ' ', 0)
 	if _, err := io.WriteString(aligned, rows.String()); err != nil {
@@ -91,7 +91,7 @@
 	return aligned.Flush()
 }
 
-// addService adds the figures of a service. The first row also is their heading.
+// addService adds the table of the service. The heading is part of its first row.
 func (b *textBuilder) addService(s checker.Service) {
 	b.addf("\nservice, ")
 	for _, row := range serviceRows(s) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// addViolations adds the violations of a rule, each with the first events that show it.
+// addViolations adds the violations of a rule, each with its first maxEvidence events of evidence.
 func (b *textBuilder) addViolations(result checker.RuleResult, events []eventlog.Event) {
 	for _, violation := range result.Violations {
 		b.addf("\nBROKEN at %v: %s\n", round(violation.At), violation.Text)
@@ -111,6 +111,6 @@
 		}
 	}
 	if more := result.ViolationCount - len(result.Violations); more > 0 {
-		b.addf("\n%d more breaks of: %s\n", more, result.Rule)
+		b.addf("\n%d more violations of: %s\n", more, result.Rule)
 	}
 }
