--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,14 +1,14 @@
-// Command rehearse plays faults of destinations, endpoints and relays against real relay processes on loopback, and
-// prints of each of the six rules whether it held.
+// Command rehearse injects faults of destinations, endpoints and relays into runs of real relay processes on loopback,
+// and reports for each of the six rules whether it held.
 //
-//	rehearse                        runs the small first-run
-//	rehearse list                   lists the scenarios that come with it
-//	rehearse run [flags] NAME|FILE  runs a scenario, or each of several
-//	rehearse report [flags] DIR     checks the record of a run again and shows the result
+//	rehearse                        runs the small scenario first-run
+//	rehearse list                   lists the built-in scenarios
+//	rehearse run [flags] NAME|FILE  runs one or several scenarios
+//	rehearse report [flags] DIR     checks the record of a run again and prints the report
 //	rehearse plan [flags] NAME|FILE prints the plan of a scenario's events
 //
-// It exits with 0 only if every rule that was exercised held; with 1 if one was violated or the run is invalid; with 2
-// if the rehearsal itself failed; with 3 if the result is inconclusive.
+// The exit status is 0 only if every rule that was exercised held; 1 if a rule was violated or the run is invalid;
+// 2 if the rehearsal itself failed; 3 if the result is inconclusive.
 package main
 
 import (
@@ -34,22 +34,22 @@
 	exitInconclusive
 )
 
-const about = "Plays partner failures against real relay processes on loopback, " +
-	"and tells of each of the six rules whether it held."
+const about = "Runs scenarios with faults against real relay processes on loopback, " +
+	"and reports for each of the six rules whether it held."
 
 func main() {
-	// The signals stay caught until the process has exited: one more, in the moment before that, would end it by the
-	// signal.
+	// The signals stay caught until the process has exited. Otherwise another signal shortly before that would end the
+	// process, and its exit status would be lost.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// commands are the command line's commands.
+// commands holds the subcommands of the command line.
 type commands struct {
 	Version kong.VersionFlag `help:"Print the version and end."`
-	Run     runCommand       `cmd:"" default:"withargs" help:"Play scenarios, one after the other (the default)."`
-	List    listCommand      `cmd:"" help:"List the scenarios that come with it."`
-	Report  reportCommand    `cmd:"" help:"Judge and show again what a run recorded."`
+	Run     runCommand       `cmd:"" default:"withargs" help:"Run scenarios, one after the other (the default)."`
+	List    listCommand      `cmd:"" help:"List the built-in scenarios."`
+	Report  reportCommand    `cmd:"" help:"Check the record of a run again and print the report."`
 	Plan    planCommand      `cmd:"" help:"Print the plan of a scenario's events."`
 }
 
@@ -81,7 +81,7 @@
 
 type listCommand struct{}
 
-// Run lists the scenarios that come with the program.
+// Run lists the built-in scenarios.
 func (listCommand) Run(streams *cli.Streams) error {
 	for _, name := range scenario.Shipped() {
 		file, err := scenario.Load(name)
@@ -97,8 +97,8 @@
 }
 
 type planCommand struct {
-	Scenario string `arg:"" help:"A scenario that comes with it, or a file."`
-	Seed     uint64 `help:"Seed of the plan; 0: the scenario's own."`
+	Scenario string `arg:"" help:"A built-in scenario or a scenario file."`
+	Seed     uint64 `help:"Seed of the plan; 0: the scenario's seed."`
 }
 
 // Run prints the plan of a scenario.
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// mainVariable makes this test binary the program, for the tests in which signals matter.
+// mainVariable is the environment variable that makes this test binary run the program, for tests that send it signals.
 const mainVariable = "REHEARSE_TEST_MAIN"
 
 func TestMain(m *testing.M) {
@@ -35,7 +35,7 @@
 	_, two, _ := call("plan", "quiet-day")
 	_, other, _ := call("plan", "--seed", "2", "quiet-day")
 	if one == "" || one != two || one == other {
-		t.Error("the plan of a seed is not one plan")
+		t.Error("a seed gives different plans, or two seeds give the same plan")
 	}
 }
 
@@ -52,7 +52,7 @@
 		{[]string{"run", "no-such"}, "neither shipped"},
 		{[]string{"run", bad}, "bad.toml:2: unknown key lengths"},
 		{[]string{"run", "--relay", "/nonexistent", "quiet-day"}, "no such file"},
-		{[]string{"run", "--relay", t.TempDir(), "quiet-day"}, "is no program"},
+		{[]string{"run", "--relay", t.TempDir(), "quiet-day"}, "is not an executable file"},
 		{[]string{"run", "--colour"}, "unknown flag --colour"},
 		{[]string{"report"}, `expected "<dir>"`},
 		{[]string{"report", t.TempDir()}, "record.jsonl"},
--- a/cmd/rehearse/relaybinary.go
+++ b/cmd/rehearse/relaybinary.go
@@ -14,8 +14,8 @@
 	relayPackage = "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle"
 )
 
-// relayBinary returns the path of the relay's program: the one that is named, else the one beside this program, else
-// one that it builds. remove removes what was built.
+// relayBinary returns the path of the relay's program: the given one or, if path is empty, the one beside this program,
+// else one that relayBinary builds. remove deletes a program that was built.
 func relayBinary(ctx context.Context, path string, stderr io.Writer) (binary string, remove func(), err error) {
 	if path == "" {
 		path = siblingRelay()
@@ -32,7 +32,7 @@
 		return "", nil, fmt.Errorf("relay: %w", err)
 	}
 	if info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", nil, fmt.Errorf("relay: %s is no program", path)
+		return "", nil, fmt.Errorf("relay: %s is not an executable file", path)
 	}
 	return path, func() {}, nil
 }
@@ -50,20 +50,21 @@
 	return path
 }
 
-// buildRelay builds the relay from the module in the current folder, as after "go run".
+// buildRelay builds the relay from the module in the current folder. It is needed under "go run", where no relay is
+// beside this program.
 func buildRelay(ctx context.Context, stderr io.Writer) (binary string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "rehearse")
 	if err != nil {
 		return "", nil, fmt.Errorf("relay: %w", err)
 	}
-	remove = func() { _ = os.RemoveAll(dir) } // the system clears its temporary folder too
+	remove = func() { _ = os.RemoveAll(dir) } // the system also clears its temporary folder
 	path := filepath.Join(dir, relayName)
 	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, relayPackage)
 	build.Stdout, build.Stderr = stderr, stderr
 	if err := build.Run(); err != nil {
 		remove()
 		return "", nil, fmt.Errorf(
-			"no relay beside this program, and none could be built here: %w (name one with --relay)", err,
+			"there is no relay program beside this one, and building it failed: %w (name one with --relay)", err,
 		)
 	}
 	return path, remove, nil
--- a/cmd/rehearse/report.go
+++ b/cmd/rehearse/report.go
@@ -11,11 +11,11 @@
 )
 
 type reportCommand struct {
-	Dir  string `arg:"" help:"The folder of one run."`
-	JSON bool   `name:"json" help:"Print the verdict as JSON, and write no files."`
+	Dir  string `arg:"" help:"Folder of a run."`
+	JSON bool   `name:"json" help:"Print the verdict as JSON and write no files."`
 }
 
-// Run checks the record of a run again and shows the result.
+// Run checks the record of a run again and prints the report.
 func (c *reportCommand) Run(streams *cli.Streams) error {
 	result, err := rehearsal.ReadRecord(c.Dir)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return exitError(exitStatus(result.Verdict))
 }
 
-// writeReport writes the report of a run into its folder, and prints it.
+// writeReport writes the report files into the folder of a run, and prints the text form.
 func writeReport(stdout io.Writer, dir string, result rehearsal.Result) error {
 	if err := report.Write(dir, result.Header, result.Events, result.Verdict); err != nil {
 		return err
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -25,13 +25,13 @@
 
 //nolint:lll // A struct tag is one line.
 type runCommand struct {
-	Scenarios []string `arg:"" optional:"" name:"scenario" help:"Scenarios that come with it, or files; all: every one that comes with it. Default: first-run."`
-	Seed      uint64   `help:"Seed of the plan; 0: the scenario's own."`
-	Relay     string   `help:"The relay's program; default: cherrytrestle beside this one, else built from this folder." placeholder:"FILE"`
-	Out       string   `help:"Folder in which each run gets one of its own." default:"rehearsals"`
-	Port      int      `help:"Port of the first relay, the others come after it; 0: any that are free."`
-	Record    bool     `help:"Have the relays record their decisions; the recordings are kept where a rule was broken."`
-	KeepAll   bool     `help:"With --record: keep the recordings whatever came of it."`
+	Scenarios []string `arg:"" optional:"" name:"scenario" help:"Built-in scenarios or scenario files; all: every built-in scenario. Default: first-run."`
+	Seed      uint64   `help:"Seed of the plan; 0: the scenario's seed."`
+	Relay     string   `help:"Program of the relay; default: cherrytrestle beside this program, else built from the current folder." placeholder:"FILE"`
+	Out       string   `help:"Folder in which each run creates its own folder." default:"rehearsals"`
+	Port      int      `help:"Port of the first relay; the others use the ports that follow. 0: any free ports."`
+	Record    bool     `help:"Record the relays' decisions; the recordings are kept if a rule was violated."`
+	KeepAll   bool     `help:"Record the relays' decisions and keep the recordings of every run."`
 
 	cli.ProgressFlags
 }
@@ -65,7 +65,7 @@
 	return exitError(worst)
 }
 
-// load reads all scenarios, before the first of them runs.
+// load reads all scenarios, so that an invalid one is reported before the first runs.
 func (c *runCommand) load() ([]scenario.File, error) {
 	names := c.Scenarios
 	switch {
@@ -103,7 +103,7 @@
 	line.End()
 	if err != nil {
 		if len(result.Events) > 0 {
-			err = fmt.Errorf("%w\nwhat was seen until then is kept in %s", err, options.Dir)
+			err = fmt.Errorf("%w\nthe record of the run until then is kept in %s", err, options.Dir)
 		}
 		return rehearsal.Result{}, err
 	}
@@ -118,7 +118,7 @@
 	return result, nil
 }
 
-// keepOrRemoveRecordings keeps what the relays recorded if a rule was violated, and removes it if not.
+// keepOrRemoveRecordings removes the relays' recordings, unless a rule was violated or KeepAll is set.
 func (c *runCommand) keepOrRemoveRecordings(out io.Writer, dir string, result rehearsal.Result) error {
 	pattern := filepath.Join(dir, "*", rehearsal.RecordingsName)
 	if c.KeepAll || exitStatus(result.Verdict) == exitViolated {
@@ -138,8 +138,8 @@
 	bar := strings.Repeat("#", done) + strings.Repeat(".", progressBarWidth-done)
 	activity := strings.Join(p.ActiveFaults, " ")
 	if p.Settling {
-		activity = "waiting for the last ends"
+		activity = "waiting for the last final answers"
 	}
-	return fmt.Sprintf("[%s] %3.0fs of %.0fs  %d handed in  %s",
+	return fmt.Sprintf("[%s] %3.0fs of %.0fs  %d submitted  %s",
 		bar, p.Elapsed.Seconds(), p.Length.Seconds(), p.Submitted, activity)
 }
--- a/cmd/rehearse/run_test.go
+++ b/cmd/rehearse/run_test.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/rehearsal"
 )
 
-// Recordings are kept where a rule was violated, or if asked for; else they are removed.
+// Recordings are kept if a rule was violated or with KeepAll. Otherwise they are removed.
 func TestRecordingsAreKeptWhereARuleWasViolated(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -47,7 +47,7 @@
 	}
 }
 
-// An interrupted run ends its relays and keeps the record; one that is killed takes its relays with it.
+// A run that is interrupted ends its relays and keeps its record. When a run is killed, its relays end too.
 func TestSignalsLeaveNoProcess(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(signal.String(), func(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// startProgram starts this program as a process, which is killed at the end of the test if it has not ended.
+// startProgram starts this program as a process. If the test fails, the process is killed at its end.
 func startProgram(t *testing.T, args ...string) (cmd *exec.Cmd, stderr *bytes.Buffer) {
 	t.Helper()
 	stderr = &bytes.Buffer{}
@@ -88,8 +88,8 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			_ = cmd.Process.Kill() // it may have ended
-			_ = cmd.Wait()         // the test may have waited for it
+			_ = cmd.Process.Kill() // the process may have ended
+			_ = cmd.Wait()         // the test may have waited already
 			t.Log(stderr.String())
 		}
 	})
@@ -101,12 +101,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(60 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout while waiting for %s", what)
 		}
 	}
 }
 
-// recordSize returns the size of the records of the runs in a folder.
+// recordSize returns the total size of the records of the runs in a folder, in bytes.
 func recordSize(dir string) int64 {
 	paths, _ := filepath.Glob(filepath.Join(dir, "*", "record.jsonl")) // the pattern is valid
 	var size int64
@@ -118,7 +118,7 @@
 	return size
 }
 
-// relaysOf returns the processes whose environment names a state folder below dir.
+// relaysOf returns the /proc files of the processes whose environment names a state folder below dir.
 func relaysOf(t *testing.T, dir string) (paths []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
--- a/cmd/sockfault/main.go
+++ b/cmd/sockfault/main.go
@@ -1,8 +1,9 @@
-// Command sockfault is a proxy between two sockets that injects faults by rules: see package faultproxy.
+// Command sockfault is a proxy that injects faults into connections according to rules; see package faultproxy.
 //
 //	sockfault --target 127.0.0.1:3000 'dir=up match="\r\n\r\n" do=reset'
 //
-// It prints where it listens, and with --control where it takes commands. It ends on SIGINT or SIGTERM.
+// It prints the address on which it listens and, with --control, the address on which it accepts commands. It ends on
+// SIGINT or SIGTERM.
 package main
 
 import (
@@ -23,7 +24,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-const about = "Stands between two sockets and spoils what passes, as rules say."
+const about = "Forwards connections to a target and injects faults according to rules."
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -37,11 +38,11 @@
 	Version kong.VersionFlag `help:"Print the version and end."`
 
 	Listen string `default:"127.0.0.1:0" placeholder:"ADDR" help:"Address to listen on."`
-	Target string `required:"" placeholder:"ADDR" help:"Address that connections go to."`
+	Target string `required:"" placeholder:"ADDR" help:"Address that connections are forwarded to."`
 
-	Control string `placeholder:"PATH|ADDR" help:"Take commands here: a path (a local socket) or a loopback address."`
-	Script  string `placeholder:"FILE" help:"Carry out the commands of this file."`
-	Seed    uint64 `default:"1" help:"Seed of what garbled bytes become."`
+	Control string `placeholder:"PATH|ADDR" help:"Accept commands here: path of a Unix socket, or loopback address."`
+	Script  string `placeholder:"FILE" help:"Execute the commands of this file."`
+	Seed    uint64 `default:"1" help:"Seed of the random bytes that replace garbled ones."`
 
 	Rule []string `arg:"" optional:"" help:"Rules in force from the start, such as 'dir=up match=x do=reset'."`
 }
@@ -78,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		context.AfterFunc(ctx, func() { discard(script) }) // which ends a read that waits, too
+		context.AfterFunc(ctx, func() { discard(script) }) // also ends a read that is blocked
 		background.Go(func() {
 			err := proxy.RunScript(ctx, script, func(line, answer string) { report(streams.Out, line+":", answer) })
 			if err != nil {
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// listenControl listens at a path or a loopback address. Whoever reaches it can inject faults: it is for this machine
-// alone.
+// listenControl listens on a Unix socket or a loopback address. Other addresses are rejected, because whoever connects
+// can inject faults: only processes on this machine may.
 func listenControl(addr string) (net.Listener, error) {
 	if strings.Contains(addr, "/") {
 		return net.Listen("unix", addr)
@@ -118,17 +119,17 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("control: %s is no loopback address", host)
+		return nil, fmt.Errorf("control: %s is not a loopback address", host)
 	}
 	return net.Listen("tcp", addr)
 }
 
-// report prints a line of a name and a value.
+// report prints a line with a name and a value.
 func report(out io.Writer, name, value string) {
-	_, _ = fmt.Fprintln(out, name, value) // an error: nobody reads it, and the proxy goes on serving
+	_, _ = fmt.Fprintln(out, name, value) // after an error there is no reader, and the proxy goes on serving
 }
 
-// discard closes what is not needed any more.
+// discard closes a resource whose result no longer matters.
 func discard(closer io.Closer) {
-	_ = closer.Close() // an error: nothing depends on it, the program ends
+	_ = closer.Close() // nothing depends on the error: the program is ending
 }
--- a/cmd/sockfault/main_test.go
+++ b/cmd/sockfault/main_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// program is a run of the program.
+// program is a running sockfault.
 type program struct {
 	t      *testing.T
 	output *bufio.Reader
@@ -46,7 +46,7 @@
 	return &program{t: t, output: bufio.NewReader(reader), cancel: cancel, ended: ended}
 }
 
-// value reads the next line, which must have this name, and returns its value.
+// value reads the next line of output, which must begin with this name, and returns the value after it.
 func (p *program) value(name string) string {
 	p.t.Helper()
 	line, err := p.output.ReadString('\n')
@@ -130,7 +130,7 @@
 		{"no target", nil, "missing flags: --target"},
 		{"rule", []string{"--target", "127.0.0.1:1", "do=melt"}, "unknown fault"},
 		{"address", []string{"--target", "127.0.0.1:1", "--listen", "nowhere"}, "nowhere"},
-		{"control address", []string{"--target", "127.0.0.1:1", "--control", "0.0.0.0:0"}, "no loopback address"},
+		{"control address", []string{"--target", "127.0.0.1:1", "--control", "0.0.0.0:0"}, "not a loopback address"},
 		{"script", []string{"--target", "127.0.0.1:1", "--script", "/nonexistent"}, "no such file"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
