--- a/internal/testkit/rehearsal/discovery.go
+++ b/internal/testkit/rehearsal/discovery.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// discoveryStream is the stream of the random generator that draws the delays.
+// discoveryStream selects the sequence of the PCG generator that the random delays are drawn from.
 const discoveryStream = 1
 
 // discovery holds the platform's endpoint list, and notifies each relay of its changes after a random delay.
--- a/internal/testkit/rehearsal/relayconfig.go
+++ b/internal/testkit/rehearsal/relayconfig.go
@@ -170,8 +170,8 @@
 	return config
 }
 
-// newSettingsRules returns the rules. Since they have one warm-up for all destinations, it is the slowest of all kinds:
-// the lowest initial capacity and the longest duration.
+// newSettingsRules returns the platform's rules. They have a single warm-up for all destinations: the lowest initial
+// capacity and the longest duration of any kind of destination.
 func newSettingsRules(file scenario.File) settingsRules {
 	rules := settingsRules{
 		DrainGrace:            inMilliseconds(file.Settings.DrainGrace),
--- a/internal/testkit/rehearsal/statefolder.go
+++ b/internal/testkit/rehearsal/statefolder.go
@@ -12,7 +12,7 @@
 // olderStateName is the name of the folder with a copy of the relay's state folder as it was after the first start.
 const olderStateName = "state.older"
 
-// saveOlderState copies the present state folder, for restarts with StateFolderOlder.
+// saveOlderState copies the present state folder, so that a restart with StateFolderOlder can use the copy.
 func (r *relay) saveOlderState() error {
 	return copyFiles(stateDir(r.dir), filepath.Join(r.dir, olderStateName))
 }
