--- a/internal/simulation/experiment/assign.go
+++ b/internal/simulation/experiment/assign.go
@@ -15,40 +15,41 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// What a value must be.
+// The errors for a value that has the wrong type or is out of its bounds.
 var (
-	errNotNumber      = errors.New("a number is wanted")
-	errNotWholeNumber = errors.New("a whole number is wanted")
-	errNotDuration    = errors.New(`a duration such as "1.5s" is wanted`)
-	errNotBool        = errors.New("true or false is wanted")
-	errNotText        = errors.New("text is wanted")
-	errNotFraction    = errors.New("a share of 0 to 1 is wanted")
-	errNotCount       = errors.New("a whole number, 0 or more, is wanted")
+	errNotNumber      = errors.New("must be a number")
+	errNotWholeNumber = errors.New("must be an integer of at least 0")
+	errNotDuration    = errors.New(`must be a duration of at least 0, such as "1.5s"`)
+	errNotBool        = errors.New("must be true or false")
+	errNotText        = errors.New("must be a string")
+	errNotFraction    = errors.New("must be a fraction from 0 to 1")
+	errNotCount       = errors.New("must be a whole number of at least 0")
 	errUnknownMutant  = errors.New("no such mutant")
-	errNotSettable    = errors.New("this cannot be set")
+	errNotSettable    = errors.New("a field of this type cannot be set")
 )
 
-// The settings by the part of a path behind its prefix.
+// The errors for an unknown key after the prefix "emulator." or "module." of a path. Each lists the known keys.
 var (
 	errUnknownOption = errors.New(
-		"the emulator has no such setting: latency, zone_latency, idle_resets, connections, beyond or mutant",
+		"unknown emulator setting; must be latency, zone_latency, idle_resets, connections, beyond or mutant",
 	)
 	errUnknownEngineSetting = errors.New(
-		"no such setting: senders, slots, cold_share, overload_factor, warm_within or order_pause",
+		"unknown engine setting; must be senders, slots, cold_share, overload_factor, warm_within or order_pause",
 	)
 )
 
-// assignment sets what stands at a path to a value.
+// assignment gives a value to the setting at a path. Factor describes the paths.
 type assignment struct {
 	path  string
 	value any
-	line  int // of the file; 0: unknown
+	line  int // in the plan's file; 0: unknown
 }
 
-// engineSetting changes the settings that the decision engines of a world are given.
+// engineSetting changes one of the settings that the decision engines of a simulation get.
 type engineSetting func(*policy.Settings)
 
-// apply carries the assignment out on what its path names: the scenario, the emulator's options or the engine settings.
+// apply performs the assignment. A path that begins with "emulator." sets a field of options, and one that begins with
+// "module." appends to engine. Any other path sets a field of the scenario file.
 func (a assignment) apply(file *scenario.File, options *emulate.Options, engine *[]engineSetting) error {
 	prefix, key, _ := strings.Cut(a.path, ".")
 	switch prefix {
@@ -108,7 +109,7 @@
 	return nil, errUnknownEngineSetting
 }
 
-// setPath sets the field at a path of TOML keys.
+// setPath sets the field that a path of TOML keys leads to, starting at field.
 func setPath(field reflect.Value, path []string, value any) error {
 	if len(path) == 0 {
 		return setValue(field, value)
@@ -125,10 +126,10 @@
 	case reflect.Slice:
 		return setEntries(field, path, value)
 	}
-	return fmt.Errorf("a scenario has no %q there", path[0])
+	return fmt.Errorf("a scenario file has no key %q at this point of the path", path[0])
 }
 
-// setEntries sets a field of one entry of a list, or of all.
+// setEntries sets a field in a list entry. The path begins with the entry's number from 1, or with * for all entries.
 func setEntries(list reflect.Value, path []string, value any) error {
 	if path[0] == "*" {
 		for i := range list.Len() {
@@ -140,12 +141,12 @@
 	}
 	number, err := strconv.Atoi(path[0])
 	if err != nil || number < 1 || number > list.Len() {
-		return fmt.Errorf("%q is none of 1 to %d, nor *", path[0], list.Len())
+		return fmt.Errorf("list entry %q must be a number from 1 to %d, or *", path[0], list.Len())
 	}
 	return setPath(list.Index(number-1), path[1:], value)
 }
 
-// allocate returns what a pointer points to, which it creates if there is none yet.
+// allocate returns the variable that a pointer points to. If the pointer is nil, allocate creates the variable first.
 func allocate(pointer reflect.Value) reflect.Value {
 	if pointer.IsNil() {
 		pointer.Set(reflect.New(pointer.Type().Elem()))
@@ -153,7 +154,7 @@
 	return pointer.Elem()
 }
 
-// setValue sets a field to a value of its type.
+// setValue sets a field to a value, which must fit the field's type.
 func setValue(field reflect.Value, value any) error {
 	if field.Type() == reflect.TypeFor[scenario.Duration]() {
 		d, err := toDuration(value)
@@ -243,17 +244,18 @@
 }
 
 func toExcessConnections(value any) (emulate.ExcessConnections, error) {
-	name, _ := value.(string) // no text is no name
+	name, _ := value.(string) // a value that is not a string gives "", which is not a known name
 	i := slices.Index(emulate.ExcessConnectionNames, name)
 	if i < 0 {
-		return 0, fmt.Errorf("one of %q is wanted", emulate.ExcessConnectionNames)
+		return 0, fmt.Errorf("must be one of %q", emulate.ExcessConnectionNames)
 	}
 	return emulate.ExcessConnections(i), nil
 }
 
-// toMutant returns the mutant of a name, nil for the empty name.
+// toMutant returns the mutant with a name. It returns nil, which is the unmodified relay, for the empty name and for a
+// value that is not a string, so that a plan can vary the mutant and include the unmodified relay.
 func toMutant(value any) (*emulate.Mutant, error) {
-	name, _ := value.(string) // as in a plan that varies the mutant: what is no text is the relay as it is
+	name, _ := value.(string)
 	mutant := emulate.FindMutant(name)
 	if mutant == nil && name != "" {
 		return nil, errUnknownMutant
@@ -261,7 +263,7 @@
 	return mutant, nil
 }
 
-// formatValue writes a value of a file, numbers as short as they can be.
+// formatValue formats a value of a plan's file. Floating-point numbers get as few digits as identify them.
 func formatValue(value any) string {
 	if x, ok := value.(float64); ok {
 		return strconv.FormatFloat(x, 'g', -1, 64)
--- a/internal/simulation/experiment/assign_test.go
+++ b/internal/simulation/experiment/assign_test.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// assignTo carries one assignment out on a scenario with a traffic entry and a destination kind.
+// assignTo applies one assignment to a scenario that has one traffic entry and one destination kind.
 func assignTo(path string, value any) (scenario.File, error) {
 	file := scenario.File{Traffic: []scenario.Traffic{{}}, DestinationKinds: []scenario.DestinationKind{{}}}
 	var engine []engineSetting
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestAssignErrors assigns values of another type or out of their bounds.
+// TestAssignErrors assigns values of the wrong type, values out of their bounds, and values to unknown keys.
 func TestAssignErrors(t *testing.T) {
 	for _, c := range []struct {
 		path  string
--- a/internal/simulation/experiment/cell.go
+++ b/internal/simulation/experiment/cell.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Cell is the results of one cell, over its seeds.
+// Cell holds the results of the runs that have the same levels and differ only in their seeds.
 type Cell struct {
 	Levels  []Level
 	Results []Result
 }
 
-// Name names the cell by its levels.
+// Name returns the levels of the cell as text, such as "relays=2 settings.slots=10".
 func (c Cell) Name() string { return formatLevels(c.Levels) }
 
-// Values returns the values of a measure, in ascending order.
+// Values returns the values of a measure in ascending order. It leaves out results with an error.
 func (c Cell) Values(measure string) (values []float64) {
 	for _, result := range c.Results {
 		if value, ok := result.Measures[measure]; ok && result.Error == "" {
@@ -28,8 +28,7 @@
 	return values
 }
 
-// Cells groups results by their cells. Cells are in the order of their levels, the results of each in that of their
-// seeds.
+// Cells groups results by their levels. It sorts the cells by level, and the results of each cell by seed.
 func Cells(results []Result) (cells []Cell) {
 	indices := map[string]int{}
 	for _, result := range results {
@@ -49,7 +48,8 @@
 	return cells
 }
 
-// compareLevels orders cells by their first levels that differ, numbers as numbers.
+// compareLevels compares two cells by the first level whose values differ. It compares the values as numbers if
+// parseNumber can parse both, and as text otherwise.
 func compareLevels(a, b []Level) int {
 	for i := range min(len(a), len(b)) {
 		if a[i].Value == b[i].Value {
@@ -65,7 +65,7 @@
 	return len(a) - len(b)
 }
 
-// parseNumber parses a number, or a duration as its seconds.
+// parseNumber parses a number or a duration. It returns a duration in seconds.
 func parseNumber(text string) (float64, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return d.Seconds(), nil
--- a/internal/simulation/experiment/cell_test.go
+++ b/internal/simulation/experiment/cell_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestCellsOrder orders cells by their levels, numbers and durations by their values, and results by their seeds.
+// TestCellsOrder checks that Cells sorts numbers and durations by value, other levels as text, and results by seed.
 func TestCellsOrder(t *testing.T) {
 	var results []Result
 	for _, seed := range []uint64{2, 1 << 63, 1} {
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -9,25 +9,26 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Confidence is the confidence of the intervals, unless another is asked for.
+// Confidence is the confidence level of the intervals on pages and in tables.
 const Confidence = 0.95
 
-// Difference is how much a measure of B is above that of A, over pairs of results that differ in nothing else.
+// Difference is the difference of a measure between two sets of results, A and B. It is computed over pairs of results,
+// one from each set, that have the same key.
 type Difference struct {
 	Measure    string
 	Pairs      int
 	A, B       float64 // means
-	Mean       float64 // of B - A
-	Low, High  float64 // the interval of the mean
-	Confidence float64 // of the interval
+	Mean       float64 // mean of B - A
+	Low, High  float64 // confidence interval of Mean
+	Confidence float64 // confidence level of the interval
 	// Increased and Decreased count the pairs in which the measure of B is above and below that of A.
 	Increased, Decreased int
 }
 
-// Significant tells whether there is a difference: the interval does not contain 0.
+// Significant reports whether the confidence interval excludes 0.
 func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// String describes the difference in a line.
+// String describes the difference in one line.
 func (d Difference) String() string {
 	verdict := "no difference seen"
 	if d.Significant() {
@@ -39,7 +40,7 @@
 }
 
 // Interval returns the mean of a sample and the confidence interval of the population's mean, by Student's t. The
-// interval of less than two values is unbounded.
+// interval of fewer than two values is unbounded.
 func Interval(values []float64, confidence float64) (mean, low, high float64) {
 	if len(values) == 0 {
 		return math.NaN(), math.Inf(-1), math.Inf(1)
@@ -111,7 +112,7 @@
 	return d
 }
 
-// WithLevel returns the results of the cells that have a factor at a value.
+// WithLevel returns the results of the cells in which the factor with the given path has the given value.
 func WithLevel(results []Result, path, value string) (selected []Result) {
 	for _, result := range results {
 		if slices.Contains(result.Cell, Level{Path: path, Value: value}) {
@@ -121,8 +122,8 @@
 	return selected
 }
 
-// KeyWithoutFactor returns a key of results that ignores one factor, so that the results of two of its values can be
-// paired.
+// KeyWithoutFactor returns a key function that ignores one factor. With this key, Compare pairs results that differ in
+// that factor only.
 func KeyWithoutFactor(path string) func(Result) string {
 	return func(r Result) string {
 		isFactor := func(level Level) bool { return level.Path == path }
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -17,9 +17,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// loadPlan reads an experiment, and the scenario beside it if it is not a shipped one.
+// loadPlan reads a plan and its scenario: a file in the plan's directory if the name ends in .toml, or else a shipped
+// scenario.
 func loadPlan(t *testing.T, path string) Plan {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -38,7 +39,7 @@
 	return p
 }
 
-// describe writes an experiment by the keys of its file, and its runs.
+// describe returns a plan as TOML, with its hash and the keys of its runs.
 func describe(t *testing.T, p Plan) string {
 	t.Helper()
 	data, err := toml.Marshal(p)
@@ -53,7 +54,8 @@
 	return b.String()
 }
 
-// TestGoldenEveryKey reads an experiment that sets every key and every path, and pins the values by their keys.
+// TestGoldenEveryKey parses a plan that sets every key and every kind of path, and compares the values that the plan
+// sets with golden files.
 func TestGoldenEveryKey(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	golden.Compare(t, *update, "every-key.out.toml", describe(t, p))
@@ -92,7 +94,8 @@
 	golden.Compare(t, *update, "every-key.settings.txt", b.String())
 }
 
-// TestGoldenDocuments pins the experiments that are kept beside the documents.
+// TestGoldenDocuments compares the names, scenarios, hashes and runs of the plans in docs/experiments with a golden
+// file.
 func TestGoldenDocuments(t *testing.T) {
 	paths, err := filepath.Glob("../../../docs/experiments/*.toml")
 	if err != nil {
@@ -101,7 +104,7 @@
 	var b strings.Builder
 	for _, path := range paths {
 		if strings.HasPrefix(filepath.Base(path), "fleet-") {
-			continue // scenarios of the others
+			continue // a scenario that plans refer to, not a plan
 		}
 		p := loadPlan(t, path)
 		runs := p.Runs()
@@ -112,12 +115,13 @@
 	golden.Compare(t, *update, "documents.txt", b.String())
 }
 
-// TestGoldenResult pins a line of results: its keys and the names of the measures.
+// TestGoldenResult compares a line of a results file with a golden file: its keys, the names of the measures and their
+// values.
 func TestGoldenResult(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	r := p.Play(p.Runs()[0])
 	if r.LatencyHistogram == "" {
-		t.Error("no histogram")
+		t.Error("the result has no latency histogram")
 	}
 	r.LatencyHistogram = "compressed: its bytes are those of a version of Go"
 	data, err := json.MarshalIndent(r, "", " ")
--- a/internal/simulation/experiment/measure.go
+++ b/internal/simulation/experiment/measure.go
@@ -6,7 +6,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
-// The names of measures that others refer to, as results have them.
+// The names of the measures that other code refers to. They are keys of Result.Measures.
 const (
 	MeasureService       = "service"
 	MeasureWorst10s      = "worst_10s"
@@ -18,35 +18,35 @@
 	MeasureViolatedRules = "broken"
 )
 
-// Measure is a figure of a run.
+// Measure is a figure of a run, such as the number of calls per message.
 type Measure struct {
-	Name        string // its key in results
+	Name        string // key in Result.Measures
 	Description string
 
-	value func(*emulate.Metrics) float64 // nil: the metrics do not have it
+	value func(*emulate.Metrics) float64 // nil: not computed from the metrics
 }
 
-// Measures are the measures of a run, in the order in which pages and comparisons have them.
+// Measures are the measures of a run, in the order of pages and comparisons.
 var Measures = []Measure{
-	{MeasureService, "worth delivered of the worth asked for", service},
-	{MeasureWorst10s, "the same of the worst ten seconds", worst10s},
-	{"in_full", "share of the messages delivered within the aim", perMessage(deliveredInTime)},
-	{"late_p50", "seconds from hand-in to delivery, median", latencyPercentile(50)},
-	{MeasureLatencyP99, "seconds from hand-in to delivery, 99 %", latencyPercentile(99)},
-	{MeasureRejected, "share of the messages turned away at the door", perMessage(rejected)},
-	{"deferred", "share given up on with advice to come again", perMessage(deferred)},
-	{"failed", "share given up on with no promise", perMessage(failed)},
-	{"undelivered", "share never delivered", perMessage((*emulate.Metrics).Undelivered)},
-	{MeasureCalls, "calls for each message", perMessage(calls)},
-	{MeasureCallsRejected, "share of the calls that were refused", perCall(callsRejected)},
+	{MeasureService, "delivered weight / submitted weight", service},
+	{MeasureWorst10s, "delivered weight / submitted weight, worst ten seconds", worst10s},
+	{"in_full", "share of the messages delivered within the latency objective", perMessage(deliveredInTime)},
+	{"late_p50", "seconds from submission to delivery, median", latencyPercentile(50)},
+	{MeasureLatencyP99, "seconds from submission to delivery, 99th percentile", latencyPercentile(99)},
+	{MeasureRejected, "rejected submissions per message", perMessage(rejected)},
+	{"deferred", "share of the messages deferred, to be submitted again", perMessage(deferred)},
+	{"failed", "share of the messages failed, with no advice to submit again", perMessage(failed)},
+	{"undelivered", "share of the messages never delivered", perMessage((*emulate.Metrics).Undelivered)},
+	{MeasureCalls, "calls per message", perMessage(calls)},
+	{MeasureCallsRejected, "share of the calls that were rejected", perCall(callsRejected)},
 	{"calls_failed", "share of the calls that failed", perCall(callsFailed)},
-	{"connections", "new connections for each message", perMessage(connections)},
-	{"connections_full", "share of them that a host with a full table refused", connectionsRefused},
-	{MeasureOverloads, "destinations pushed over", overloads},
-	{MeasureViolatedRules, "rules broken (judged runs)", nil},
+	{"connections", "new connections per message, refused ones included", perMessage(connections)},
+	{"connections_full", "share of the new connections refused by an endpoint at its limit", connectionsRefused},
+	{MeasureOverloads, "services overloaded during their warm-up", overloads},
+	{MeasureViolatedRules, "violated rules, if the plan has judged = true", nil},
 }
 
-// Measurements returns the measures of a run by their names, all but MeasureViolatedRules.
+// Measurements returns the values of all measures of a run by name, except MeasureViolatedRules.
 func Measurements(metrics *emulate.Metrics) map[string]float64 {
 	values := map[string]float64{}
 	for _, measure := range Measures {
@@ -69,7 +69,7 @@
 	return ratio(m.ConnectionsRefused, connections(m))
 }
 
-// The counts of a run that measures are ratios of.
+// The counts from which the ratios of the measures are computed.
 func deliveredInTime(m *emulate.Metrics) int { return m.DeliveredInTime }
 func rejected(m *emulate.Metrics) int        { return m.Rejected }
 func deferred(m *emulate.Metrics) int        { return m.Deferred }
@@ -91,5 +91,5 @@
 
 func ratio(n, of int) float64 { return roundFigure(float64(n) / float64(max(1, of))) }
 
-// roundFigure rounds to the six digits that results have.
+// roundFigure rounds to the six decimal places that results are stored with.
 func roundFigure(x float64) float64 { return math.Round(1e6*x) / 1e6 }
--- a/internal/simulation/experiment/page.go
+++ b/internal/simulation/experiment/page.go
@@ -13,17 +13,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
-// The charts of a page.
+// Constants of the charts on a page.
 const (
-	measureChartHeight = 170 // in SVG's units
+	measureChartHeight = 170 // in SVG user units
 	latencyChartHeight = 200
-	// minLogRatio is the ratio of the last to the first value from which on an axis is logarithmic.
+	// minLogRatio is the ratio of the last to the first X value of a line from which the X axis is logarithmic.
 	minLogRatio = 20
-	// nanosecondsPerSecond converts the histograms' values.
+	// nanosecondsPerSecond converts the values of latency histograms to seconds.
 	nanosecondsPerSecond = 1e9
 )
 
-// latencyPercentiles are the points of the latency chart.
+// latencyPercentiles are the percentiles that the latency chart shows.
 var latencyPercentiles = []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.9}
 
 var pageTemplate = template.Must(template.New("page").Parse(
@@ -32,8 +32,8 @@
 		`table { border-collapse: collapse } ` +
 		`td, th { padding: 2px 8px; text-align: right; border-bottom: 1px solid #e4e4e4 }
 td:first-child, th:first-child { text-align: left } {{.Style}}</style>
-<h1>{{.Name}}</h1><p>{{.Runs}} runs, plan {{.Plan}}, decisions {{.Revision}}. ` +
-		`Bands and brackets are {{.Confidence}} intervals of the mean over the seeds.</p>
+<h1>{{.Name}}</h1><p>{{.Runs}} runs, plan {{.Plan}}, policy revision {{.Revision}}. ` +
+		`Bands and brackets are {{.Confidence}} confidence intervals of the mean over the seeds.</p>
 {{range .Charts}}{{.}}{{end}}
 <table><tr><th>cell{{range .Heads}}<th>{{.}}{{end}}</tr>` +
 		`{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}</tr>{{end}}</table></html>
@@ -50,8 +50,8 @@
 	Rows                 [][]string
 }
 
-// WritePage writes an HTML page about results: charts of each measure over the first factor that is a number, with a
-// line for each combination of the others, a chart of the latency, and a table.
+// WritePage writes an HTML page about results. The page has a chart of each measure over the first numeric factor, with
+// a line for each combination of the other factors, a chart of latency percentiles, and a table of the means.
 func WritePage(out io.Writer, name string, results []Result) error {
 	cells := Cells(results)
 	data := pageData{Name: name, Runs: len(results), Confidence: Confidence, Style: template.CSS(chart.Style)}
@@ -72,7 +72,8 @@
 	return pageTemplate.Execute(out, data)
 }
 
-// tableRow returns a cell's name and the means of its measures.
+// tableRow returns a cell's name and the means of its measures. The mean of MeasureService includes its confidence
+// interval.
 func tableRow(cell Cell) []string {
 	row := []string{cell.Name()}
 	for _, measure := range Measures {
@@ -110,11 +111,11 @@
 	return -1
 }
 
-// measureChart draws a measure over the factor at axis, or over the cells if axis is -1. ok is false for a measure that
-// is 0 in all cells.
+// measureChart draws a measure over the factor with the index axis, or over the numbers of the cells if axis is -1. ok
+// is false if there is no chart because the measure is 0 or missing in all cells.
 func measureChart(cells []Cell, axis int, measure Measure) (image template.HTML, ok bool) {
 	plot := chart.XY{Title: measure.Name, Unit: measure.Description, Height: measureChartHeight}
-	lines := map[string]int{} // indices by name
+	lines := map[string]int{} // indices in plot.Lines by name
 	for i, cell := range cells {
 		values := cell.Values(measure.Name)
 		if len(values) == 0 {
@@ -126,7 +127,7 @@
 		name := ""
 		if axis >= 0 {
 			level := cell.Levels[axis]
-			point.X, _ = parseNumber(level.Value) // numericFactor has parsed it
+			point.X, _ = parseNumber(level.Value) // cannot fail: numericFactor has parsed the value
 			plot.Axis = level.Path
 			name = formatLevels(slices.Delete(slices.Clone(cell.Levels), axis, axis+1))
 		}
@@ -149,11 +150,12 @@
 	return plot.Draw(), true
 }
 
-// latencyChart draws the time from submission to delivery over its percentiles, for as many cells as there are colours.
+// latencyChart draws the percentiles of the time from submission to delivery. It has a line for each of the first
+// cells, as many as there are colours.
 func latencyChart(cells []Cell) template.HTML {
 	plot := chart.XY{
 		Title:  "lateness",
-		Unit:   "seconds from hand-in to delivery",
+		Unit:   "seconds from submission to delivery",
 		Axis:   "percentile",
 		Height: latencyChartHeight,
 	}
@@ -172,7 +174,7 @@
 	return plot.Draw()
 }
 
-// histogram returns the latency of all results of a cell, or nil if none has any.
+// histogram returns the merged latency histograms of a cell's results, or nil if no result has one.
 func (c Cell) histogram() (sum *hdrhistogram.Histogram) {
 	for _, result := range c.Results {
 		histogram := result.Histogram()
--- a/internal/simulation/experiment/parallel.go
+++ b/internal/simulation/experiment/parallel.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// ForEach calls do with each number below count on so many workers, 0 for one per core. Once the context is done it
-// starts no further call, but for one that it may have offered already. It returns when all calls have ended.
+// ForEach calls do with each number from 0 to count-1, concurrently on the given number of workers. 0 workers means
+// one per core. After the context is done, ForEach hands at most one more number to a worker. It returns when all
+// calls have returned.
 func ForEach(ctx context.Context, workers, count int, do func(i int)) {
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
--- a/internal/simulation/experiment/parallel_test.go
+++ b/internal/simulation/experiment/parallel_test.go
@@ -18,12 +18,12 @@
 		})
 		slices.Sort(seen)
 		if len(seen) != 20 || len(slices.Compact(seen)) != 20 || seen[19] != 19 {
-			t.Errorf("%d workers: %v", workers, seen)
+			t.Errorf("%d workers: called with %v, want each of 0 to 19 once", workers, seen)
 		}
 	}
 }
 
-// TestForEachCancelled starts at most one more call after the context is done.
+// TestForEachCancelled checks that a single worker starts at most one more call after the context is done.
 func TestForEachCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -1,6 +1,8 @@
-// Package experiment plays experiments in virtual time: a scenario, the factors that vary, and seeds. It tells an
-// effect from noise by paired differences over equal seeds with confidence intervals, and searches for faults that a
-// scenario's relays handle badly. It does no I/O but through the readers and writers that it is given.
+// Package experiment plays experiments in virtual time. An experiment plays a scenario with each combination of the
+// values of its factors, and each combination with several seeds. To separate effects from noise, the package
+// compares results by paired differences over equal seeds, with confidence intervals. It also searches for faults
+// that the relays of a scenario handle badly. All I/O goes through the readers, writers and functions that callers
+// pass.
 package experiment
 
 import (
@@ -16,48 +18,50 @@
 )
 
 const (
-	// maxRuns bounds the runs of an experiment.
+	// maxRuns is the largest number of runs of an experiment.
 	maxRuns = 100_000
-	// defaultSeeds is the number of seeds of a plan that gives none.
+	// defaultSeeds is the number of seeds of a plan that does not set it.
 	defaultSeeds = 10
-	// defaultFirstSeed is the first seed of a plan that gives none.
+	// defaultFirstSeed is the first seed of a plan that does not set it.
 	defaultFirstSeed = 1
 )
 
-// Plan is an experiment as its file describes it.
+// Plan describes an experiment. It is read from a file.
 type Plan struct {
 	Name  string `toml:"name"`
 	About string `toml:"about"`
-	// Scenario is the name of a shipped scenario, or a file.
+	// Scenario is the name of a shipped scenario, or the path of a scenario file.
 	Scenario string `toml:"scenario"`
-	// Seeds is how many seeds each cell is played with, by default defaultSeeds.
+	// Seeds is the number of seeds with which each cell is played. 0 means defaultSeeds.
 	Seeds     int    `toml:"seeds"`
 	FirstSeed uint64 `toml:"first_seed"`
-	// Checked has the checker verify the rules of each run. Such a run keeps a record in memory.
+	// Checked has the checker verify the rules of each run. A checked run keeps its events in memory.
 	Checked bool `toml:"judged"`
-	// Overrides are the settings of all runs, by path.
+	// Overrides are values that all runs set, by path. Factor describes the paths.
 	Overrides map[string]any `toml:"set"`
 	Factors   []Factor       `toml:"factor"`
 
-	text  string
-	lines map[string]int // of the file's keys
-	base  scenario.File
+	text  string         // content of the file
+	lines map[string]int // line numbers of the file's keys
+	base  scenario.File  // the scenario that Scenario names
 }
 
 // Factor is a setting that varies: the plan combines each of its values with those of the other factors.
 //
-// Its path is one of a scenario's file, with entries of lists by their numbers from 1, or * for all (relays,
-// settings.slots, traffic.1.rate, destination.*.count), one of the emulator (emulator.latency, emulator.zone_latency,
-// emulator.idle_resets, emulator.connections, emulator.beyond, emulator.mutant), or a setting of the decision engine
-// that no scenario has (module.senders, module.cold_share, module.overload_factor, module.warm_within,
-// module.order_pause, module.slots).
+// Its path is one of the following:
+//   - keys of the scenario file, where a list entry is its number from 1, or * for all entries: relays, settings.slots,
+//     traffic.1.rate, destination.*.count
+//   - a setting of the emulator: emulator.latency, emulator.zone_latency, emulator.idle_resets, emulator.connections,
+//     emulator.beyond, emulator.mutant
+//   - a setting of the decision engines, which applies to them in place of the scenario's: module.senders,
+//     module.cold_share, module.overload_factor, module.warm_within, module.order_pause, module.slots
 type Factor struct {
 	Path   string `toml:"path"`
 	Values []any  `toml:"values"`
 }
 
-// Parse reads an experiment's file and reports all that is wrong with it at once. load reads the scenario that the file
-// names.
+// Parse parses an experiment's file. load reads the scenario that the file names. Parse reports as many errors together
+// as it can: first those of the TOML text, then those of the plan's fields, then those of the cells' scenarios.
 func Parse(name string, data []byte, load func(string) (scenario.File, error)) (Plan, error) {
 	var p Plan
 	if err := stricttoml.Decode("experiment "+name, data, &p); err != nil {
@@ -72,7 +76,7 @@
 	}
 	errs := p.check()
 	if p.Scenario == "" {
-		errs = append(errs, p.errorAt("", "no scenario"))
+		errs = append(errs, p.errorAt("", "scenario is not set"))
 	} else if base, err := load(p.Scenario); err != nil {
 		errs = append(errs, p.errorAt("scenario", "%w", err))
 	} else {
@@ -87,10 +91,10 @@
 	return p, nil
 }
 
-// check returns what is wrong with the file itself.
+// check returns the errors of the plan's own fields.
 func (p *Plan) check() (errs []error) {
 	if p.Name == "" {
-		errs = append(errs, p.errorAt("", "no name"))
+		errs = append(errs, p.errorAt("", "name is not set"))
 	}
 	if p.Seeds < 0 {
 		errs = append(errs, p.errorAt("seeds", "seeds must be above 0, not %d", p.Seeds))
@@ -105,19 +109,21 @@
 		}
 	}
 	if runs > maxRuns {
-		errs = append(errs, p.errorAt("seeds", "more than %d runs", maxRuns))
+		errs = append(errs, p.errorAt("seeds", "seeds and factors give more than %d runs", maxRuns))
 	}
 	return errs
 }
 
-// checkFactor returns what is wrong with a factor. duplicate tells that an earlier factor has its path.
+// checkFactor returns the errors of a factor. duplicate is whether an earlier factor has the same path.
 func (p *Plan) checkFactor(index int, duplicate bool) (errs []error) {
 	factor, number, key := p.Factors[index], index+1, factorKey(index)
 	if len(factor.Values) == 0 {
 		errs = append(errs, p.errorAt(key, "factor %d (%s) has no values", number, factor.Path))
 	}
 	if duplicate {
-		errs = append(errs, p.errorAt(key+".path", "factor %d: %s is a factor already", number, factor.Path))
+		errs = append(errs, p.errorAt(
+			key+".path", "factor %d: an earlier factor has the path %s, too", number, factor.Path,
+		))
 	}
 	for i, value := range factor.Values {
 		text := formatValue(value)
@@ -131,7 +137,7 @@
 	return errs
 }
 
-// checkCells returns what is wrong with the scenarios of the cells, each error once.
+// checkCells returns the errors of the cells' scenarios, without duplicates.
 func (p *Plan) checkCells() (errs []error) {
 	reported := map[string]bool{}
 	for _, run := range p.Runs() {
@@ -146,15 +152,15 @@
 	return errs
 }
 
-// factorKey is the key of a factor in the file.
+// factorKey returns the key of a factor in Plan.lines.
 func factorKey(index int) string { return fmt.Sprintf("factor[%d]", index+1) }
 
-// errorAt returns an error with the line of a key of the file, if the file has that key.
+// errorAt returns an error that begins with the line of a key, if the file has that key.
 func (p *Plan) errorAt(key, format string, args ...any) error {
 	return atLine(p.lines[key], fmt.Errorf(format, args...))
 }
 
-// atLine adds a line of the file to an error. 0 means that the line is unknown.
+// atLine adds a line number of the file to an error. It returns the error unchanged for line 0, which means unknown.
 func atLine(line int, err error) error {
 	if line == 0 {
 		return err
@@ -162,17 +168,17 @@
 	return fmt.Errorf("line %d: %w", line, err)
 }
 
-// Hash identifies the experiment by its file and its scenario.
+// Hash returns a hash of the plan's file and of its scenario. Results carry it to identify their experiment.
 func (p Plan) Hash() string {
 	base, err := p.base.Encode()
 	if err != nil {
-		base = []byte(err.Error()) // cannot happen: a scenario has plain values only
+		base = []byte(err.Error()) // cannot happen: TOML can encode all values of a scenario
 	}
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\n%s", p.text, base))
 	return hex.EncodeToString(sum[:8])
 }
 
-// Runs returns all runs, those of one cell together.
+// Runs returns all runs, grouped by cell.
 func (p Plan) Runs() (runs []Run) {
 	for _, cell := range p.cells() {
 		for i := range p.Seeds {
--- a/internal/simulation/experiment/result.go
+++ b/internal/simulation/experiment/result.go
@@ -13,30 +13,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLineSize bounds a line of a file of results, in bytes.
+// maxLineSize bounds a line of a results file, in bytes. ReadResults fails at a longer line.
 const maxLineSize = 1 << 20
 
-// Result is what came of a run, one line of a file of results.
+// Result is the outcome of a run. A results file has one on each line.
 type Result struct {
-	Plan     string  `json:"plan"` // Plan.Hash
-	Revision string  `json:"revision"`
+	Plan     string  `json:"plan"`     // Plan.Hash
+	Revision string  `json:"revision"` // revision of the decision policy
 	Cell     []Level `json:"cell"`
 	Seed     uint64  `json:"seed"`
-	// Measures has the figures by the names of Measures.
+	// Measures has the values of the measures by Measure.Name.
 	Measures map[string]float64 `json:"measures"`
-	// ViolatedRules has the number of violations of each violated rule.
+	// ViolatedRules has the number of violations of each violated rule, if the plan is checked.
 	ViolatedRules map[string]int `json:"broken,omitempty"`
-	// LatencyHistogram is the times from submission to delivery in HdrHistogram's encoding.
+	// LatencyHistogram is a histogram of the times from submission to delivery, in HdrHistogram's encoding and base64.
 	LatencyHistogram string `json:"late,omitempty"`
-	// Error is why the run could not be played to its end.
+	// Error is the reason why the run did not reach its end.
 	Error string `json:"error,omitempty"`
 }
 
-// Key names the run of a result within its experiment.
+// Key identifies the run of the result within its experiment.
 func (r Result) Key() string { return runKey(r.Cell, r.Seed) }
 
-// Histogram returns the times from submission to delivery in nanoseconds, or nil if the result has none that can be
-// read.
+// Histogram decodes LatencyHistogram, whose values are in nanoseconds. It returns nil if the result has no histogram or
+// an invalid one.
 func (r Result) Histogram() *hdrhistogram.Histogram {
 	data, err := base64.StdEncoding.DecodeString(r.LatencyHistogram)
 	if err != nil || len(data) == 0 {
@@ -49,11 +49,12 @@
 	return histogram
 }
 
-// ReadResults reads results. It skips a last line that was cut off, as by a kill.
+// ReadResults reads a results file. It skips an invalid last line, which a process leaves if it is killed while it
+// writes.
 func ReadResults(r io.Reader) (results []Result, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineSize)
-	var invalid error // wrong only if another line follows
+	var invalid error // an error of the file only if another line follows
 	for number := 1; lines.Scan(); number++ {
 		if invalid != nil {
 			return results, invalid
@@ -71,19 +72,20 @@
 	return results, nil
 }
 
-// Progress is called after each run of an experiment.
+// Progress is called after each run of an experiment. done counts the runs that have a result, earlier ones included.
 type Progress func(done, total int, result Result)
 
-// PlayOptions say how an experiment is played.
+// PlayOptions are the options of Plan.PlayAll.
 type PlayOptions struct {
-	Revision string   // of the decisions
-	Previous []Result // of runs that need not be played again, if they have the same plan and revision
+	Revision string   // of the decision policy, stored in the results
+	Previous []Result // earlier results: their runs are skipped, except after an error or for another plan or revision
 	Workers  int      // 0: one for each core
-	Progress Progress // nil: none is reported
+	Progress Progress // nil: no progress is reported
 }
 
-// PlayAll plays the runs that have no result yet. It writes each result as it comes, a line at a time, so that what is
-// done is kept whatever ends it. Once the context is done it ends after the runs under way, with the context's error.
+// PlayAll plays the runs that have no previous result. It writes each result to out, as one line, as soon as the run
+// has ended, so that an interrupted experiment keeps the results of all finished runs. After the context is done,
+// PlayAll finishes the runs in progress and returns the context's error.
 func (p Plan) PlayAll(ctx context.Context, out io.Writer, options PlayOptions) (played int, err error) {
 	runs := p.Runs()
 	missing := p.missing(runs, options)
@@ -103,7 +105,7 @@
 	return played, errors.Join(err, ctx.Err())
 }
 
-// missing returns the runs without a previous result.
+// missing returns the runs without a usable previous result.
 func (p Plan) missing(runs []Run, options PlayOptions) (missing []Run) {
 	hash := p.Hash()
 	done := map[string]bool{}
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -22,7 +22,7 @@
 	Value string `json:"is"`
 }
 
-// Run is one run of an experiment: a cell, that is a level of each factor, with a seed.
+// Run is one run of an experiment: a cell, which is one level of each factor, and a seed.
 type Run struct {
 	Cell []Level // in the order of the factors
 	Seed uint64
@@ -30,10 +30,10 @@
 	assignments []assignment
 }
 
-// Key names a run within its experiment.
+// Key identifies the run within its experiment.
 func (r Run) Key() string { return runKey(r.Cell, r.Seed) }
 
-// with returns the run with one more factor.
+// with returns the run with one more level. line is the line of the factor's values in the plan's file.
 func (r Run) with(path string, value any, line int) Run {
 	return Run{
 		Cell:        append(slices.Clone(r.Cell), Level{Path: path, Value: formatValue(value)}),
@@ -68,13 +68,13 @@
 		result.Measures[MeasureViolatedRules] = float64(len(result.ViolatedRules))
 	}
 	histogram, err := world.Latencies().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-	if err == nil { // a result without its histogram is still one
+	if err == nil { // the result is valid without its histogram
 		result.LatencyHistogram = base64.StdEncoding.EncodeToString(histogram)
 	}
 	return result
 }
 
-// simulate plays the world of a run to its end.
+// simulate plays the scenario of a run to its end.
 func (p Plan) simulate(run Run) (*emulate.World, error) {
 	file, options, err := p.scenarioFor(run)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return violations
 }
 
-// scenarioFor returns the scenario of a run and the emulator's options.
+// scenarioFor returns the scenario and the emulator's options for a run, with the run's assignments applied.
 func (p Plan) scenarioFor(run Run) (scenario.File, emulate.Options, error) {
 	file := p.base.Clone()
 	options := emulate.Options{Record: p.Checked}
@@ -129,7 +129,7 @@
 		}
 	}
 	if err := file.ValidateWithin(scenario.EmulatorBounds); err != nil {
-		with := cmp.Or(formatLevels(run.Cell), "what is set for all")
+		with := cmp.Or(formatLevels(run.Cell), "the settings of all runs")
 		return file, options, fmt.Errorf("with %s: %w", with, err)
 	}
 	return file, options, nil
--- a/internal/simulation/experiment/search.go
+++ b/internal/simulation/experiment/search.go
@@ -11,30 +11,31 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// aboveAnyService is the service of no candidate: every candidate is worse.
+// aboveAnyService exceeds the service of every candidate, which is at most 1. It marks the initial worst candidate, so
+// that every candidate is worse.
 const aboveAnyService = 2
 
 // Search is a random search for faults that the relays of a scenario handle badly.
 type Search struct {
 	Base       scenario.File
-	Candidates int             // how many are drawn
-	Seed       uint64          // of the search
+	Candidates int             // number of candidates to draw
+	Seed       uint64          // of the search; candidates get this seed and the following ones
 	Workers    int             // 0: one for each core
-	Mutant     *emulate.Mutant // nil: the relay as it is
-	// Progress is called after each candidate, with the worst so far; nil: it is not.
+	Mutant     *emulate.Mutant // nil: the unmodified relay
+	// Progress is called after each candidate, with the worst candidate so far. nil: no progress is reported.
 	Progress func(done int, worst Candidate)
 }
 
-// Candidate is a scenario of a search, and how it went.
+// Candidate is a scenario that a search has played, and the outcome.
 type Candidate struct {
 	Scenario      scenario.File
-	Seed          uint64 // that it is played with
+	Seed          uint64 // with which the scenario is played
 	ViolatedRules []checker.Rule
-	Service       float64
-	Plays         int // of the search until then, those that shrink the scenario included
+	Service       float64 // delivered share of the submitted weight, 0 to 1
+	Plays         int     // simulations that the search has played so far, including those that shrink the scenario
 }
 
-// worse tells whether a goes worse than b: a violated rule is worse than any loss of service.
+// worse reports whether the outcome of a is worse than that of b. A violated rule is worse than any loss of service.
 func (a Candidate) worse(b Candidate) bool {
 	if (len(a.ViolatedRules) > 0) != (len(b.ViolatedRules) > 0) {
 		return len(a.ViolatedRules) > 0
@@ -42,15 +43,15 @@
 	return a.Service < b.Service
 }
 
-// Run plays the candidates and shrinks the worst. Equal searches find the same, on any number of workers. If the
-// context ends the search early, Run returns the worst candidate until then together with the context's error.
+// Run plays the candidates and shrinks the scenario of the worst one. Its result does not depend on the number of
+// workers. If the context ends the search early, Run returns the worst candidate so far and the context's error.
 func (s Search) Run(ctx context.Context) (Candidate, error) {
 	played, err := s.playCandidates(ctx)
 	if err != nil {
 		return Candidate{}, err
 	}
 	if len(played) == 0 {
-		return Candidate{}, fmt.Errorf("hunt: nothing was played: %w", ctx.Err())
+		return Candidate{}, fmt.Errorf("search: no candidate was played: %w", ctx.Err())
 	}
 	worst := played[0]
 	for _, candidate := range played[1:] {
@@ -62,8 +63,8 @@
 	return s.shrink(ctx, worst), ctx.Err()
 }
 
-// playCandidates plays the candidates until the context is done, and returns them in the order of their numbers, so
-// that the order in which they ended does not matter.
+// playCandidates plays the candidates until the context is done. It returns those that were played in the order of
+// their numbers, so that the order in which workers finish has no effect on the result.
 func (s Search) playCandidates(ctx context.Context) ([]Candidate, error) {
 	candidates := make([]*Candidate, s.Candidates)
 	worst := Candidate{Service: aboveAnyService}
@@ -82,7 +83,7 @@
 				worst = candidate
 			}
 		case firstErr == nil:
-			firstErr = fmt.Errorf("hunt: plan %d: %w", i, err)
+			firstErr = fmt.Errorf("search: candidate %d: %w", i, err)
 		}
 		done++
 		if s.Progress != nil {
@@ -98,7 +99,7 @@
 	return played, firstErr
 }
 
-// play plays a scenario and checks its rules.
+// play plays a scenario and checks the rules.
 func (s Search) play(file scenario.File, seed uint64) (Candidate, error) {
 	candidate := Candidate{Scenario: file, Seed: seed}
 	world, err := Simulate(file.Draw(seed), emulate.Options{Record: true, Mutant: s.Mutant})
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// minLossKept is the part of a loss of service that a smaller scenario must keep to replace the larger one.
+	// minLossKept is the fraction of a loss of service that a smaller scenario must still cause to replace the larger
+	// one.
 	minLossKept = 0.9
-	// minSettleTime is how long a shortened scenario goes on after its last fault.
+	// minSettleTime is the shortest time from the last fault to the end of a shortened scenario.
 	minSettleTime = 10 * time.Second
 	// minLength is the length of a shortened scenario without faults, before it is rounded up.
 	minLength = time.Second
-	// minRate is the rate, in messages a second, up to which traffic is not halved.
+	// minRate is the highest rate of traffic that is not halved, in messages per second.
 	minRate = 10
-	// minFaultDuration is the duration up to which a fault is not halved.
+	// minFaultDuration is the longest duration of a fault that is not halved.
 	minFaultDuration = 2 * time.Second
-	// timeUnit is what drawn and halved times are rounded to.
+	// timeUnit is the unit to which drawn and halved times are rounded.
 	timeUnit = 100 * time.Millisecond
 )
 
-// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it violates the
-// same rule, or loses nearly as much.
+// shrink makes the scenario of a candidate smaller, one step at a time, as long as the smaller scenario reproduces the
+// problem. The problem is the violation of the candidate's first violated rule, or a loss of service of at least
+// minLossKept times the candidate's loss if the candidate violates no rule.
 func (s Search) shrink(ctx context.Context, found Candidate) Candidate {
 	loss := 1 - found.Service
-	showsSame := func(candidate Candidate) bool {
+	reproduces := func(candidate Candidate) bool {
 		if len(found.ViolatedRules) > 0 {
 			return slices.Contains(candidate.ViolatedRules, found.ViolatedRules[0])
 		}
 		return 1-candidate.Service >= minLossKept*loss
 	}
 	for ctx.Err() == nil {
-		smaller, ok := s.shrinkStep(ctx, &found, showsSame)
+		smaller, ok := s.shrinkStep(ctx, &found, reproduces)
 		if !ok {
 			break
 		}
@@ -43,8 +45,9 @@
 	return found
 }
 
-// shrinkStep returns the first smaller scenario that shows the same. It counts its plays in found.
-func (s Search) shrinkStep(ctx context.Context, found *Candidate, showsSame func(Candidate) bool) (Candidate, bool) {
+// shrinkStep returns the first smaller scenario that reproduces the problem of found. It adds the simulations that it
+// plays to found.Plays.
+func (s Search) shrinkStep(ctx context.Context, found *Candidate, reproduces func(Candidate) bool) (Candidate, bool) {
 	for _, file := range smallerScenarios(found.Scenario) {
 		if ctx.Err() != nil {
 			break
@@ -54,7 +57,7 @@
 		}
 		candidate, err := s.play(file, found.Seed)
 		found.Plays++
-		if err == nil && showsSame(candidate) {
+		if err == nil && reproduces(candidate) {
 			candidate.Plays = found.Plays
 			return candidate, true
 		}
@@ -62,7 +65,7 @@
 	return Candidate{}, false
 }
 
-// smallerScenarios returns the scenarios that are one step smaller, those that remove most first.
+// smallerScenarios returns the scenarios that are one step smaller. The steps that usually remove most come first.
 func smallerScenarios(file scenario.File) (smaller []scenario.File) {
 	add := func(change func(*scenario.File)) {
 		changed := file.Clone()
@@ -112,7 +115,7 @@
 	return changes
 }
 
-// shortestLength is the length, in whole seconds, that leaves room for all faults and what follows them.
+// shortestLength returns a length, in whole seconds, that contains all faults and minSettleTime after the last one.
 func shortestLength(file scenario.File) time.Duration {
 	length := minLength
 	for _, fault := range file.Faults {
@@ -121,7 +124,7 @@
 	return length.Truncate(time.Second) + time.Second
 }
 
-// shorten ends a scenario earlier.
+// shorten sets an earlier end of a scenario, and removes the traffic after it.
 func shorten(file *scenario.File, length time.Duration) {
 	file.Length = scenario.Duration(length)
 	isCut := func(traffic scenario.Traffic) bool { return traffic.From.AsDuration() >= length }
@@ -131,7 +134,7 @@
 	}
 }
 
-// removeRelay removes the last relay, also from the faults.
+// removeRelay removes the last relay from the scenario and from its faults.
 func removeRelay(file *scenario.File) {
 	file.Relays--
 	isRemoved := func(relay int) bool { return relay > file.Relays }
--- a/internal/simulation/experiment/shrink_test.go
+++ b/internal/simulation/experiment/shrink_test.go
@@ -8,8 +8,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// TestSmallerScenarios makes each kind of step once: the first removes a fault, and a length behind the last fault is
-// cut together with the traffic there.
+// TestSmallerScenarios checks the smaller scenarios of one to which each kind of step applies, and their order. The
+// step that shortens the scenario must also cut the traffic after the new end.
 func TestSmallerScenarios(t *testing.T) {
 	second := func(n int) scenario.Duration { return scenario.Duration(time.Duration(n) * time.Second) }
 	file := scenario.File{
@@ -49,18 +49,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if len(steps) == 0 {
-				t.Fatal("no step left")
+				t.Fatal("smallerScenarios returned no scenario for this step")
 			}
 			if !c.want(steps[0]) {
-				t.Errorf("%+v", steps[0])
+				t.Errorf("unexpected smaller scenario: %+v", steps[0])
 			}
 			steps = steps[1:]
 		})
 	}
 	if len(steps) > 0 {
-		t.Errorf("%d steps more", len(steps))
+		t.Errorf("smallerScenarios returned %d scenarios more than expected", len(steps))
 	}
 	if len(file.Faults[0].Destinations) != 2 || file.Traffic[1].Rate != 50 {
-		t.Errorf("the scenario itself was changed: %+v", file)
+		t.Errorf("smallerScenarios changed its argument: %+v", file)
 	}
 }
--- a/internal/simulation/experiment/variant.go
+++ b/internal/simulation/experiment/variant.go
@@ -8,19 +8,19 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The bounds of what a search draws.
+// The bounds of the faults that a search draws.
 const (
 	maxFaults            = 5
 	maxFaultDestinations = 3
-	minFaultTime         = time.Second // from the start, and for how long
+	minFaultTime         = time.Second // the earliest start and the shortest duration of a fault
 	maxFaultDuration     = 12 * time.Second
-	// latestFaultTenths is the part of the scenario's length, in tenths, in which faults begin.
+	// latestFaultTenths is the latest start of a fault, in tenths of the scenario's length.
 	latestFaultTenths = 7
 	minDiscoveryDelay = 500 * time.Millisecond
 	maxDiscoveryDelay = 5 * time.Second
 )
 
-// faultKinds are the faults that a search draws from.
+// faultKinds are the kinds of faults that a search draws from.
 var faultKinds = []scenario.FaultKind{
 	scenario.FaultDrain,
 	scenario.FaultRemove,
@@ -36,8 +36,8 @@
 	scenario.FaultKill,
 }
 
-// drawVariant returns a scenario with other faults and another load. The draws have a fixed order, so that a seed gives
-// the same variant again.
+// drawVariant returns the scenario with random faults in place of its own, and with 0.5 to 1.5 times its load. The
+// order of the draws is fixed, so that equal seeds give equal variants.
 func drawVariant(base scenario.File, random *rand.Rand) scenario.File {
 	file := base.Clone()
 	file.Name = base.Name + "-hunted"
@@ -88,7 +88,7 @@
 	return scenario.Duration(drawn.Round(timeUnit))
 }
 
-// drawDestinations draws up to maxFaultDestinations of a scenario's destinations, by their numbers from 1.
+// drawDestinations draws up to maxFaultDestinations destinations, and returns their numbers, counted from 1.
 func drawDestinations(file *scenario.File, random *rand.Rand) (numbers []int) {
 	total := 0
 	for _, destination := range file.Destinations {
