--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -15,17 +15,17 @@
 
 //nolint:lll // A struct tag is one line.
 type checkCommand struct {
-	Models             []string   `name:"world" help:"Worlds; default: all that come with it."`
-	Mutant             mutantName `help:"Check a relay that has this wrong about it." placeholder:"NAME"`
-	MaxDepth           int        `name:"depth" help:"Moves on a path at most; 0: each world's."`
-	ExtraDepth         int        `name:"deeper" help:"So many moves more than each world's own bound."`
-	MaxStates          int        `name:"states" help:"States of a world at most; 0: 4 million."`
-	CounterexampleFile string     `name:"keep" help:"File for the path to a break." default:"counterexample.json" placeholder:"FILE"`
-	ReplayFile         string     `name:"replay" help:"Play the path in this file again, and nothing else." type:"existingfile" placeholder:"FILE"`
-	List               bool       `help:"List the worlds."`
+	Models             []string   `name:"world" help:"Models to check; default: all."`
+	Mutant             mutantName `help:"Check this mutant, a broken relay, in place of the unmodified one." placeholder:"NAME"`
+	MaxDepth           int        `name:"depth" help:"Maximum number of moves on a path; 0: each model's own."`
+	ExtraDepth         int        `name:"deeper" help:"Number of moves to add to that maximum."`
+	MaxStates          int        `name:"states" help:"Maximum number of states of a model; 0: 4 million."`
+	CounterexampleFile string     `name:"keep" help:"File for the counterexample: the path to the first violation." default:"counterexample.json" placeholder:"FILE"`
+	ReplayFile         string     `name:"replay" help:"Replay the counterexample in this file, and check nothing else." type:"existingfile" placeholder:"FILE"`
+	List               bool       `help:"List the models."`
 }
 
-// Run checks the models. It writes the counterexample of the first that violates a rule into a file.
+// Run checks the models. It writes the counterexample of the first model that violates a rule into a file.
 func (c *checkCommand) Run(ctx context.Context, s *cli.Streams) error {
 	if c.List {
 		return listModels(s)
@@ -67,12 +67,12 @@
 func listModels(s *cli.Streams) error {
 	out := cli.NewPrinter(s.Out)
 	for _, model := range modelcheck.Models() {
-		out.Printf("%-10s to %2d moves: %s\n", model.Name, model.MaxDepth, model.Description)
+		out.Printf("%-10s up to %2d moves: %s\n", model.Name, model.MaxDepth, model.Description)
 	}
 	return finish(out, exitHeld)
 }
 
-// selectModels returns the models to check.
+// selectModels returns the models that the flags name, or all models if they name none.
 func (c *checkCommand) selectModels() ([]modelcheck.Model, error) {
 	if len(c.Models) == 0 {
 		return modelcheck.Models(), nil
@@ -81,14 +81,14 @@
 	for _, name := range c.Models {
 		model := modelcheck.FindModel(name)
 		if model == nil {
-			return nil, fmt.Errorf("no world %q", name)
+			return nil, fmt.Errorf("no model %q; --list prints all", name)
 		}
 		models = append(models, *model)
 	}
 	return models, nil
 }
 
-// check checks a model, and returns a counterexample if it violates a rule.
+// check checks a model. It returns a counterexample, or nil if the model violates no rule.
 func (c *checkCommand) check(
 	ctx context.Context, out *cli.Printer, model *modelcheck.Model, mutant *emulate.Mutant,
 ) (*modelcheck.Counterexample, error) {
@@ -118,17 +118,17 @@
 	}, nil
 }
 
-// describeCoverage tells what part of a model was checked.
+// describeCoverage describes which paths of a model were checked.
 func describeCoverage(result modelcheck.Result) string {
 	switch {
 	case result.Complete:
 		return "whole"
 	case result.RandomWalks > 0:
-		return fmt.Sprintf("to %d moves, and %d random paths", result.Depth, result.RandomWalks)
+		return fmt.Sprintf("all paths up to %d moves, and %d random paths", result.Depth, result.RandomWalks)
 	case result.Truncated:
-		return fmt.Sprintf("to %d moves, and part of the next: cut off", result.Depth)
+		return fmt.Sprintf("all paths up to %d moves, and some with one more: search ended early", result.Depth)
 	}
-	return fmt.Sprintf("to %d moves", result.Depth)
+	return fmt.Sprintf("all paths up to %d moves", result.Depth)
 }
 
 // keep writes a counterexample into CounterexampleFile.
@@ -140,11 +140,11 @@
 	if err := os.WriteFile(c.CounterexampleFile, append(data, '\n'), 0o600); err != nil {
 		return err
 	}
-	out.Printf("kept in %[1]s: emulate check --replay %[1]s\n", c.CounterexampleFile)
+	out.Printf("counterexample written to %[1]s; replay it with: emulate check --replay %[1]s\n", c.CounterexampleFile)
 	return nil
 }
 
-// replay plays the counterexample of a file again.
+// replay replays the counterexample in ReplayFile.
 func (c *checkCommand) replay(s *cli.Streams) error {
 	data, err := os.ReadFile(c.ReplayFile)
 	if err != nil {
@@ -163,7 +163,7 @@
 	}
 	out := cli.NewPrinter(s.Out)
 	if violation == nil {
-		out.Printf("no rule is broken on this path\n")
+		out.Printf("this path violates no rule\n")
 		return finish(out, exitHeld)
 	}
 	out.Printf("%s: BROKEN: %s\n", violation.Rule, violation.Detail)
--- a/cmd/emulate/compare.go
+++ b/cmd/emulate/compare.go
@@ -10,18 +10,18 @@
 
 //nolint:lll // A struct tag is one line.
 type compareCommand struct {
-	Files      []string `arg:"" help:"Results of an experiment; two files of one experiment are two builds." type:"existingfile"`
-	Factor     string   `help:"The factor of which two values are compared (one file)." placeholder:"PATH"`
-	A          string   `help:"Its one value."`
-	B          string   `help:"Its other value."`
-	Confidence float64  `help:"Of the intervals." default:"0.95"`
+	Files      []string `arg:"" help:"Results files of one experiment. Two files are compared as the results of two builds." type:"existingfile"`
+	Factor     string   `help:"Factor of which two values are compared, in one results file." placeholder:"PATH"`
+	A          string   `help:"First value of the factor."`
+	B          string   `help:"Second value of the factor."`
+	Confidence float64  `help:"Confidence level of the intervals." default:"0.95"`
 }
 
 // The errors of a comparison.
 var (
 	errConfidence    = errors.New("--confidence must be between 0 and 1")
 	errCompareUsage  = errors.New("give two files, or one with --factor, --a and --b")
-	errNotComparable = errors.New("no two results differ in nothing else: nothing can be compared")
+	errNotComparable = errors.New("nothing to compare: no two results agree in the seed and in all other factors")
 )
 
 // Run prints the differences of all measures.
@@ -54,7 +54,7 @@
 	return nil, errCompareUsage
 }
 
-// compareBuilds compares the results of two files.
+// compareBuilds compares the results of the same runs in two files.
 func (c *compareCommand) compareBuilds() ([]experiment.Difference, error) {
 	a, errA := readResults(c.Files[0])
 	b, errB := readResults(c.Files[1])
@@ -62,12 +62,12 @@
 		return nil, err
 	}
 	if len(a) > 0 && len(b) > 0 && a[0].Plan != b[0].Plan {
-		return nil, fmt.Errorf("the results are of two experiments, %s and %s", a[0].Plan, b[0].Plan)
+		return nil, fmt.Errorf("the results are of different experiments: plan %s and plan %s", a[0].Plan, b[0].Plan)
 	}
 	return experiment.Compare(a, b, experiment.Result.Key, c.Confidence), nil
 }
 
-// compareLevels compares two values of a factor.
+// compareLevels compares the results of two values of a factor in one file.
 func (c *compareCommand) compareLevels() ([]experiment.Difference, error) {
 	results, err := readResults(c.Files[0])
 	if err != nil {
--- a/cmd/emulate/experiment.go
+++ b/cmd/emulate/experiment.go
@@ -17,13 +17,13 @@
 
 //nolint:lll // A struct tag is one line.
 type experimentCommand struct {
-	File    string `arg:"" help:"The experiment's file." type:"existingfile"`
-	Out     string `help:"File of the results, one JSON object a line; one that holds some already is gone on with. Default: the file's name with .jsonl." placeholder:"FILE"`
-	Workers int    `help:"Runs at a time; 0: one for each core."`
+	File    string `arg:"" help:"File that describes the experiment." type:"existingfile"`
+	Out     string `help:"Results file, with one JSON object per line. Runs that have a result in it are not played again. Default: the experiment's file name with .jsonl." placeholder:"FILE"`
+	Workers int    `help:"Number of runs at a time; 0: one per core."`
 	cli.ProgressFlags
 }
 
-// Run plays the runs of the experiment that have no result yet.
+// Run plays the runs of the experiment that have no result yet, and prints a table of all results.
 func (c *experimentCommand) Run(ctx context.Context, s *cli.Streams) (err error) {
 	plan, err := loadPlan(c.File)
 	if err != nil {
@@ -50,7 +50,8 @@
 	progress.End()
 	if errors.Is(err, context.Canceled) {
 		note := cli.NewPrinter(s.Err)
-		note.Printf("cut off after %d more runs, which are kept in %s: the same command goes on\n", played, c.Out)
+		note.Printf("interrupted after %d more runs; their results are in %s; run the same command to resume\n",
+			played, c.Out)
 		return finish(note, exitFailed)
 	}
 	if err != nil {
@@ -66,7 +67,7 @@
 	return printCells(s.Out, results)
 }
 
-// loadPlan reads an experiment. The files that it names are relative to its folder.
+// loadPlan reads a plan. The path of a scenario file in the plan is relative to the plan's directory.
 func loadPlan(path string) (experiment.Plan, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -80,8 +81,8 @@
 	})
 }
 
-// openResults opens a file of results, which it creates if there is none, and reads those in it. What is written next
-// begins on a line of its own.
+// openResults opens or creates a results file, and reads the results in it. The returned file is positioned at the
+// start of a new line at its end.
 func openResults(path string) (*os.File, []experiment.Result, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return file, results, nil
 }
 
-// truncatePartialLine removes a last line that was cut off, and goes to the end of the file.
+// truncatePartialLine removes an incomplete last line from a file, and seeks to the end of the file.
 func truncatePartialLine(file *os.File) error {
 	size, err := file.Seek(0, io.SeekEnd)
 	if err != nil {
@@ -121,13 +122,13 @@
 	return err
 }
 
-// readResults reads a file of results.
+// readResults reads a results file.
 func readResults(path string) ([]experiment.Result, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // nothing was written that could be lost
 	return experiment.ReadResults(file)
 }
 
@@ -135,7 +136,8 @@
 func printCells(w io.Writer, results []experiment.Result) error {
 	out := cli.NewPrinter(w)
 	out.Printf("%-44s %5s  %-25s %-10s %-8s %-8s %-8s %s\n",
-		"cell", "runs", "service (95 %)", "worst 10 s", "p99 s", "refused", "calls", "fell, broken")
+		"cell", "runs", "service [95 % interval]", "worst 10 s", "p99 s", "refused", "calls",
+		"overloads, violated rules")
 	for _, cell := range experiment.Cells(results) {
 		printCell(out, cell)
 	}
--- a/cmd/emulate/experiment_test.go
+++ b/cmd/emulate/experiment_test.go
@@ -13,18 +13,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
-// TestDocumentedExperiments loads the experiments of the documents, and plays the runs with twenty relays and seed 1
-// of those about many relays: no rule is violated. In many-herd the mutant that ignores drains violates one, so the
-// checker is at work.
+// TestDocumentedExperiments loads the plans in docs/experiments. Of the plans about many relays, it plays the runs with
+// twenty relays and seed 1, which must violate no rule. In many-herd, the mutant that ignores drains must violate one:
+// this shows that the runs are checked.
 func TestDocumentedExperiments(t *testing.T) {
 	paths, err := filepath.Glob("../../docs/experiments/*.toml")
 	if err != nil || len(paths) < 8 {
-		t.Fatalf("%d files, %v", len(paths), err)
+		t.Fatalf("found %d files in docs/experiments, want at least 8: %v", len(paths), err)
 	}
 	manyRelays := 0
 	for _, path := range paths {
 		if strings.HasPrefix(filepath.Base(path), "fleet-") {
-			continue // a scenario of other experiments
+			continue // a scenario that plans refer to, not a plan
 		}
 		plan, err := loadPlan(path)
 		if err != nil {
@@ -41,11 +41,11 @@
 	}
 }
 
-// checkManyRelays plays the runs with twenty relays and seed 1.
+// checkManyRelays plays the runs of a plan with twenty relays and seed 1, and checks their service and the rules.
 func checkManyRelays(t *testing.T, plan experiment.Plan) {
 	minService := 0.8
 	if plan.Name == "many-split" {
-		minService = 0.65 // a zone is away for a fifth of it
+		minService = 0.65 // a zone is unavailable for a fifth of the run
 	}
 	for i, run := range plan.Runs() {
 		if run.Cell[0].Value != "20" || run.Seed > 1 {
@@ -65,13 +65,13 @@
 		mutated.Overrides["emulator.mutant"] = "drains-ignored"
 		result = mutated.Play(mutated.Runs()[i])
 		if result.ViolatedRules[string(checker.DrainRespected)] == 0 {
-			t.Error("a relay that ignores drains keeps all rules")
+			t.Errorf("%s: the mutant that ignores drains does not violate %q", run.Key(), checker.DrainRespected)
 		}
 	}
 }
 
-// TestResumedExperiment cancels an experiment, cuts the last line of its results off, and resumes it: the results are
-// complete.
+// TestResumedExperiment resumes an experiment that was cancelled, and then one whose last result was cut off. The
+// results must be complete each time.
 func TestResumedExperiment(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(plan, []byte(testPlan), 0o600); err != nil {
@@ -81,7 +81,7 @@
 	cancel()
 	var stdout, stderr bytes.Buffer
 	status := run(ctx, []string{"experiment", "-q", plan}, &stdout, &stderr)
-	if status != exitFailed || !strings.Contains(stderr.String(), "the same command goes on") {
+	if status != exitFailed || !strings.Contains(stderr.String(), "run the same command to resume") {
 		t.Errorf("cancelled: status %d, %s", status, stderr.String())
 	}
 	results := strings.TrimSuffix(plan, "toml") + "jsonl"
--- a/cmd/emulate/faultobserver.go
+++ b/cmd/emulate/faultobserver.go
@@ -12,41 +12,44 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// drainSendTimeout is how long after it has heard that an endpoint drains a relay may still send to it.
+// drainSendTimeout is how long a relay may still send to an endpoint after it has received the list change that
+// drains or removes the endpoint.
 const drainSendTimeout = time.Second
 
-// faultObserver measures a fault while it is played.
+// faultObserver measures the effects of a fault during a run.
 type faultObserver struct {
-	world  *emulate.World // nil while it is built
+	world  *emulate.World // nil until emulate.New has returned
 	plan   scenario.Plan
 	relays int
 
-	// How changes of the list spread.
-	changes    map[listChange]*changeSpread
-	drainHeard map[string][]time.Duration // by endpoint: when each relay heard that it drains; 0: not yet
-	lateSends  int                        // later than drainSendTimeout after that
+	// How changes of the endpoint list reach the relays.
+	changes map[listChange]*changeSpread
+	// drainReceived maps an endpoint to the times at which each relay received that the endpoint drains or is removed.
+	// 0 means not yet.
+	drainReceived map[string][]time.Duration
+	lateSends     int // sends to an endpoint later than drainSendTimeout after drainReceived
 
-	// What outages cost.
-	destinations map[string]int // by endpoint
-	outages      map[int]outage // by destination
+	// The cost of outages.
+	destinations map[string]int // destination numbers by endpoint
+	outages      map[int]outage // by destination number
 	wasted       wastedSends
-	recovered    deliveries // of messages for destinations that have recovered
+	recovered    deliveries // of messages submitted after the recovery of their destination
 	unaffected   deliveries // of messages for destinations without an outage
 
-	endedRelays int // terminated and killed
+	endedRelays int // relays that the plan terminates or kills
 }
 
 // listChange is a change of the endpoint list: an endpoint gets a state.
 type listChange struct{ endpoint, state string }
 
-// changeSpread is how a change of the list has reached the relays.
+// changeSpread counts the relays that have received a change of the list.
 type changeSpread struct {
-	published time.Duration
-	heardLast time.Duration
-	heardBy   int // relays
+	published    time.Duration
+	lastReceived time.Duration // when the latest of these relays received the change
+	receivedBy   int           // number of relays
 }
 
-// outage is the time in which a destination is down.
+// outage is the period in which a destination is down.
 type outage struct{ start, end time.Duration }
 
 // noEnd is the end of an outage that outlasts the run.
@@ -54,7 +57,7 @@
 
 func (o outage) includes(at time.Duration) bool { return at >= o.start && at < o.end }
 
-// deliveries counts messages.
+// deliveries counts submitted messages, and those of them that were delivered.
 type deliveries struct{ submitted, delivered int }
 
 func (d deliveries) String() string {
@@ -66,7 +69,7 @@
 type wastedSends struct {
 	total   int
 	byRelay map[int]int
-	pairs   map[relayDestination]struct{} // that made one
+	pairs   map[relayDestination]struct{} // pairs with at least one such send
 }
 
 type relayDestination struct{ relay, destination int }
@@ -77,7 +80,7 @@
 	w.pairs[relayDestination{relay, destination}] = struct{}{}
 }
 
-// listStates are the states of endpoints after the steps of a plan that change the list.
+// listStates maps the operations that change the endpoint list to the state that the endpoint gets.
 var listStates = map[scenario.Op]string{
 	scenario.OpAddEndpoint:    eventlog.StateReady,
 	scenario.OpDrainEndpoint:  eventlog.StateDraining,
@@ -86,13 +89,13 @@
 
 func newFaultObserver(plan scenario.Plan) *faultObserver {
 	o := &faultObserver{
-		plan:         plan,
-		relays:       plan.File.Relays,
-		changes:      map[listChange]*changeSpread{},
-		drainHeard:   map[string][]time.Duration{},
-		destinations: map[string]int{},
-		outages:      map[int]outage{},
-		wasted:       wastedSends{byRelay: map[int]int{}, pairs: map[relayDestination]struct{}{}},
+		plan:          plan,
+		relays:        plan.File.Relays,
+		changes:       map[listChange]*changeSpread{},
+		drainReceived: map[string][]time.Duration{},
+		destinations:  map[string]int{},
+		outages:       map[int]outage{},
+		wasted:        wastedSends{byRelay: map[int]int{}, pairs: map[relayDestination]struct{}{}},
 	}
 	for _, endpoint := range plan.Endpoints {
 		o.destinations[endpoint.ID] = endpoint.Destination
@@ -119,14 +122,14 @@
 	return o
 }
 
-// options returns options that have the world report to the observer.
+// options returns emulator options with callbacks that update the observer.
 func (o *faultObserver) options() emulate.Options {
 	return emulate.Options{
 		ZoneLatency:  zoneLatency,
 		OnListChange: o.listChanged,
 		OnStep: func(relay int, _ time.Duration, _ []policy.Event, actions []policy.Action) {
 			if o.world == nil {
-				return // the relays' first steps: no message is submitted yet
+				return // a relay's first step, inside emulate.New: no message is submitted yet
 			}
 			for _, action := range actions {
 				if action.Kind == policy.Send {
@@ -147,28 +150,28 @@
 	}
 }
 
-// listChanged records that a relay has heard of a change.
+// listChanged records that a relay has received a change of the list.
 func (o *faultObserver) listChanged(relay int, endpoint, state string) {
 	now := o.world.Now()
 	spread := o.changes[listChange{endpoint, state}]
-	spread.heardBy++
-	spread.heardLast = now
+	spread.receivedBy++
+	spread.lastReceived = now
 	if state == eventlog.StateReady {
 		return
 	}
-	if o.drainHeard[endpoint] == nil {
-		o.drainHeard[endpoint] = make([]time.Duration, o.relays)
+	if o.drainReceived[endpoint] == nil {
+		o.drainReceived[endpoint] = make([]time.Duration, o.relays)
 	}
-	if o.drainHeard[endpoint][relay] == 0 {
-		o.drainHeard[endpoint][relay] = now
+	if o.drainReceived[endpoint][relay] == 0 {
+		o.drainReceived[endpoint][relay] = now
 	}
 }
 
-// sent records a call of a relay.
+// sent records that a relay sends a call to an endpoint.
 func (o *faultObserver) sent(relay int, endpoint string) {
 	now := o.world.Now()
-	heard := o.drainHeard[endpoint]
-	if heard != nil && heard[relay] > 0 && now > heard[relay]+drainSendTimeout+checker.Tolerance {
+	received := o.drainReceived[endpoint]
+	if received != nil && received[relay] > 0 && now > received[relay]+drainSendTimeout+checker.Tolerance {
 		o.lateSends++
 	}
 	destination := o.destinations[endpoint]
@@ -177,8 +180,8 @@
 	}
 }
 
-// deliveriesFor returns where to count a message that was submitted at a time, or nil if its destination was down then,
-// or will be.
+// deliveriesFor returns the counter for messages to a destination that are submitted at a time. It returns nil if these
+// messages are not counted because the destination is down then or goes down later.
 func (o *faultObserver) deliveriesFor(destination int, at time.Duration) *deliveries {
 	down, ok := o.outages[destination]
 	switch {
--- a/cmd/emulate/faultreport.go
+++ b/cmd/emulate/faultreport.go
@@ -7,23 +7,23 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 )
 
-// settleTime is the time before a fault that does not count as before it: messages of then may still wait when it
-// begins.
+// settleTime is the time before a fault that is left out of the service before the fault: messages submitted in this
+// time may still wait when the fault begins.
 const settleTime = 5 * time.Second
 
-// print prints what was measured. It tells whether the relays handled the fault well: no destination was overloaded,
-// and all relays heard of each change of the list and obeyed it.
+// print prints the measurements. It reports whether the relays handled the fault well: no service was overloaded during
+// its warm-up, and all relays received each change of the list and obeyed it.
 func (o *faultObserver) print(out *cli.Printer, f faultScenario) (held bool) {
 	w := o.world
-	out.Printf("  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n",
+	out.Printf("  service: before the fault %.4f, during it %.4f, after it %.4f; overloads during warm-up: %d\n",
 		w.OverallBetween(0, f.start-settleTime),
 		w.OverallBetween(f.start, f.end),
 		w.OverallBetween(f.end, f.Length.AsDuration()),
 		w.Overloads,
 	)
-	out.Printf("  calls %d: refused %d, failed %d; not opened %d; ",
+	out.Printf("  calls %d: rejected %d, failed %d; connections refused %d; ",
 		w.Calls, w.CallsRejected, w.CallsFailed, w.ConnectionsRefused)
-	out.Printf("hand-ins refused %d, unanswered %d; deferred %d, failed %d\n",
+	out.Printf("submissions rejected %d, unanswered %d; messages deferred %d, failed %d\n",
 		w.Rejected, w.Unanswered, w.Deferred, w.Failed)
 	held = w.Overloads == 0
 	if len(o.changes) > 0 {
@@ -33,31 +33,32 @@
 		o.printOutages(out)
 	}
 	if o.endedRelays > 0 {
-		out.Printf("  %d relays ended\n", o.endedRelays)
+		out.Printf("  %d relays terminated or killed\n", o.endedRelays)
 	}
 	return held
 }
 
-// printChanges prints how the changes of the list reached the relays. It tells whether all did, and whether no send
-// came too late after one.
+// printChanges prints how the changes of the list reached the relays. It reports whether each change reached all relays
+// and whether no relay sent too late to an endpoint that drains or was removed.
 func (o *faultObserver) printChanges(out *cli.Printer) (held bool) {
-	var delays []time.Duration // until the last relay heard of a change
+	// delays are the times from each change that reached all relays until the last relay received it.
+	var delays []time.Duration
 	for _, spread := range o.changes {
-		if spread.heardBy == o.relays {
-			delays = append(delays, spread.heardLast-spread.published)
+		if spread.receivedBy == o.relays {
+			delays = append(delays, spread.lastReceived-spread.published)
 		}
 	}
 	slices.Sort(delays)
 	missing := len(o.changes) - len(delays)
-	out.Printf("  %d changes; %d that some relay does not have; ", len(o.changes), missing)
-	out.Printf("the last relay has one after %v in the median, %v at most\n",
+	out.Printf("  %d list changes, of which %d did not reach all relays; ", len(o.changes), missing)
+	out.Printf("time until the last relay received a change: %v in the median, %v at most\n",
 		quantile(delays, 0.5), quantile(delays, 1))
-	out.Printf("  sends more than %v after the relay had heard that an endpoint takes nothing new: %d\n",
+	out.Printf("  sends to an endpoint more than %v after the relay received that it drains or is removed: %d\n",
 		drainSendTimeout, o.lateSends)
 	return missing == 0 && o.lateSends == 0
 }
 
-// quantile returns a quantile of sorted durations, in whole milliseconds; 0 if there are none.
+// quantile returns a quantile of sorted durations, rounded to milliseconds. It returns 0 if there are no durations.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -65,16 +66,17 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
-// printOutages prints what the destinations that were down cost, and how messages were delivered beside and after them.
+// printOutages prints the calls that were sent to destinations that were down, and the deliveries to destinations that
+// recovered or were never down.
 func (o *faultObserver) printOutages(out *cli.Printer) {
 	most := 0
 	for _, sends := range o.wasted.byRelay {
 		most = max(most, sends)
 	}
 	total := float64(o.wasted.total)
-	out.Printf("  %d destinations down: %d calls to them, %.2f a destination, %.2f a relay (%d at most); ",
+	out.Printf("  %d destinations down: %d calls to them, %.2f per destination, %.2f per relay (%d at most); ",
 		len(o.outages), o.wasted.total, total/float64(len(o.outages)), total/float64(o.relays), most)
-	out.Printf("%d pairs of relay and destination made one\n", len(o.wasted.pairs))
-	out.Printf("  messages served: for those that came back, from then on, %v; for those that were never down %v\n",
+	out.Printf("%d pairs of relay and destination had such a call\n", len(o.wasted.pairs))
+	out.Printf("  messages delivered: to recovered destinations after recovery %v; to destinations never down %v\n",
 		o.recovered, o.unaffected)
 }
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -22,47 +22,47 @@
 
 //nolint:lll // A struct tag is one line.
 type faultsCommand struct {
-	Fault        string `arg:"" enum:"changes,outages,zone,restarts" help:"changes: of the list, spread over the length. outages: destinations down together, a tenth of them back in one instant. zone: one of 19 zones of relays gone at once. restarts: a twentieth of the relays within a minute."`
-	Relays       []int  `help:"Numbers of relays: one world for each." default:"40"`
-	Destinations int    `help:"Destinations, of two endpoints each." default:"2500"`
-	Count        int    `help:"Of changes or outages." default:"60"`
+	Fault        string `arg:"" enum:"changes,outages,zone,restarts" help:"changes: endpoints are replaced one by one over the whole run. outages: destinations crash together, and a tenth of them recover together. zone: all relays of one of 19 zones are killed together. restarts: a twentieth of the relays are restarted within a minute."`
+	Relays       []int  `help:"Numbers of relays; one run for each." default:"40"`
+	Destinations int    `help:"Number of destinations, each with two endpoints." default:"2500"`
+	Count        int    `help:"Number of list changes or of outages." default:"60"`
 	loadFlags
-	OutageRate float64       `name:"struck" help:"outages: messages a second for each destination struck, beside the others." default:"3"`
-	ZoneOutage time.Duration `name:"away" help:"zone: how long its relays are gone." default:"15s"`
-	CheckRules bool          `name:"judged" help:"Judge it by the six rules, too: takes room for the record."`
-	Mutant     mutantName    `help:"Play it with a relay that has this wrong about it." placeholder:"NAME"`
+	OutageRate float64       `name:"struck" help:"outages: additional messages per second to each destination that crashes." default:"3"`
+	ZoneOutage time.Duration `name:"away" help:"zone: time until the killed relays start again." default:"15s"`
+	CheckRules bool          `name:"judged" help:"Check the six rules, too. This keeps all events in memory."`
+	Mutant     mutantName    `help:"Play this mutant, a broken relay, in place of the unmodified one." placeholder:"NAME"`
 	Seed       uint64        `default:"1"`
 }
 
 const (
-	// changesPerReplacement is how many changes of the list replace an endpoint: the new one is added, the old one
-	// drains, and is removed.
+	// changesPerReplacement is the number of list changes that replace an endpoint: the new endpoint is added, the old
+	// one drains, and the old one is removed.
 	changesPerReplacement = 3
-	// changesMargin is how long before the world's end the last replacement begins.
+	// changesMargin is by how much the period in which replacements begin is shorter than the run.
 	changesMargin = 10 * time.Second
-	// zoneCount is the number of zones, of which one is lost.
+	// zoneCount is the number of zones of the zone fault, which kills the relays of one of them.
 	zoneCount = 19
-	// recoveryDivisor is the part of the outages that end: one in so many.
+	// recoveryDivisor determines how many outages end before the run does: one in recoveryDivisor.
 	recoveryDivisor = 10
-	// restartShare is the part of the relays that are restarted, over restartDuration at most.
+	// restartShare is the fraction of the relays that are restarted, spread over at most restartDuration.
 	restartShare    = 0.05
 	restartDuration = time.Minute
 )
 
-// faultScenario is a large world with a fault.
+// faultScenario is a scenario with many relays and destinations, and a fault.
 type faultScenario struct {
 	scenario.File
 	start, end time.Duration // of the fault
 }
 
-// scenarioWithFault returns the world of so many relays with the fault of the command.
+// scenarioWithFault returns a scenario with a number of relays and the fault of the command.
 func (c *faultsCommand) scenarioWithFault(relays int) faultScenario {
 	f := faultScenario{
-		File:  c.scenario(worldSize{relays: relays, destinations: c.Destinations}),
+		File:  c.scenario(simulationSize{relays: relays, destinations: c.Destinations}),
 		start: c.Length / 3,
 		end:   c.Length * 2 / 3,
 	}
-	f.DestinationKinds[0] = scenario.DestinationKind{ // ten calls a second for each endpoint
+	f.DestinationKinds[0] = scenario.DestinationKind{ // each endpoint serves ten calls per second
 		Name:                 "store",
 		ServiceTime:          scenario.Duration(500 * time.Millisecond),
 		ServiceTimeVariation: 0.5,
@@ -82,7 +82,7 @@
 	return f
 }
 
-// addChanges replaces endpoints one by one over the whole length.
+// addChanges replaces endpoints one by one over the whole run.
 func (c *faultsCommand) addChanges(f *faultScenario) {
 	f.start, f.end = 0, c.Length
 	endpoints := c.Destinations * f.Destinations[0].Endpoints
@@ -91,14 +91,15 @@
 		Kind:     scenario.FaultDrain,
 		Start:    scenario.Duration(time.Second),
 		Duration: scenario.Duration(c.Length - changesMargin),
-		// The plan rounds the number of endpoints up.
+		// The planner rounds the number of endpoints up. The next smaller share prevents one endpoint too many.
 		Share:            math.Nextafter(float64(replacements)/float64(endpoints), 0),
 		ReplaceEndpoints: true,
 		BatchSize:        1,
 	}}
 }
 
-// addOutages crashes destinations together. A part of them recovers at the end of the fault, the others do not.
+// addOutages crashes destinations together. One in recoveryDivisor recovers at the end of the fault, the others do not
+// recover.
 func (c *faultsCommand) addOutages(f *faultScenario) {
 	var crashed []int
 	for i := range c.Count {
@@ -149,7 +150,7 @@
 	}}
 }
 
-// Run plays the fault in a world for each number of relays.
+// Run plays the fault once with each number of relays.
 func (c *faultsCommand) Run(ctx context.Context, s *cli.Streams) error {
 	mutant, err := c.Mutant.find()
 	if err != nil {
@@ -170,7 +171,8 @@
 	return finish(out, ruleStatus(held))
 }
 
-// play plays the fault with so many relays and prints what it costs. It tells whether the relays handled it well.
+// play plays the fault with a number of relays and prints its cost. change changes the emulator's options. play reports
+// whether the relays handled the fault well.
 func (c *faultsCommand) play(out *cli.Printer, relays int, change func(*emulate.Options)) (held bool, err error) {
 	f := c.scenarioWithFault(relays)
 	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
@@ -196,7 +198,7 @@
 	peak := float64(memory.stop()) / bytesPerMB
 	out.Printf("%s: %d relays, %d destinations, %v of virtual time, ", c.Fault, relays, c.Destinations, c.Length)
 	submitted := observer.world.Submitted
-	out.Printf("%d messages in %.1f s, %.0f a second; peak %.0f MB\n",
+	out.Printf("%d messages in %.1f s of real time, %.0f per second; peak memory %.0f MB\n",
 		submitted, elapsed, float64(submitted)/elapsed, peak)
 	held = observer.print(out, f)
 	if c.CheckRules {
@@ -205,15 +207,15 @@
 	return held, nil
 }
 
-// printRules prints how the rules fared. It tells whether all held and the record is complete.
+// printRules prints the result of each rule. It reports whether no rule was violated and the run has no errors.
 func printRules(out *cli.Printer, result checker.Result) (held bool) {
 	held = true
 	for _, rule := range result.Rules {
-		out.Printf("  %s: %s, %d cases, %d breaks\n", rule.Rule, rule.State, rule.Exercised, rule.ViolationCount)
+		out.Printf("  %s: %s, %d cases, %d violations\n", rule.Rule, rule.State, rule.Exercised, rule.ViolationCount)
 		held = held && rule.State != checker.Violated
 	}
 	for _, runError := range result.RunErrors {
-		out.Printf("  the record proves less: %v\n", runError)
+		out.Printf("  error of the run: %v\n", runError)
 		held = false
 	}
 	return held
--- a/cmd/emulate/faults_test.go
+++ b/cmd/emulate/faults_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
-// TestMissedListChange has one relay of forty hear of no change of the list within the world's time: the command
-// reports the changes as missing.
+// TestMissedListChange delays all list changes to one of forty relays beyond the end of the run. The command must
+// report that the changes did not reach all relays.
 func TestMissedListChange(t *testing.T) {
 	var text bytes.Buffer
 	c := faultsCommand{
@@ -29,7 +29,7 @@
 			return time.Second
 		}
 	})
-	if err != nil || held || !strings.Contains(text.String(), "60 that some relay does not have") {
+	if err != nil || held || !strings.Contains(text.String(), "60 list changes, of which 60 did not reach all relays") {
 		t.Errorf("held %v, %v:\n%s", held, err, text.String())
 	}
 }
--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -13,18 +13,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/report"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
+// TestGoldenHelp compares the help of each command with a golden file: its texts, its flags and their defaults.
 func TestGoldenHelp(t *testing.T) {
 	names := []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"}
 	golden.CheckHelp(t, *update, "emulate", names, run)
 }
 
-// wallTime is how long a run took on this machine.
+// wallTime matches the real time that a run took, which differs between runs.
 var wallTime = regexp.MustCompile(`(?m)^played in [^:]*:`)
 
-// TestGoldenRuns pins the figures of eight runs: the text, and the verdict with every digit.
+// TestGoldenRuns compares eight runs with golden files: the printed summary, and the JSON report with all digits.
 func TestGoldenRuns(t *testing.T) {
 	for _, c := range []struct {
 		name, scenario, seed string
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -11,17 +11,17 @@
 
 //nolint:lll // A struct tag is one line.
 type huntCommand struct {
-	Scenario   scenarioName `arg:"" help:"The scenario whose world and load are struck: one that comes with the kit, or a file."`
-	Candidates int          `name:"plans" help:"Plans that are tried." default:"200"`
+	Scenario   scenarioName `arg:"" help:"Scenario that is played with random faults and loads: the name of a shipped one, or a file."`
+	Candidates int          `name:"plans" help:"Number of variants of the scenario to play." default:"200"`
 	Seed       uint64       `help:"Seed of the search." default:"1"`
-	Mutant     mutantName   `help:"Hunt a relay that has this wrong about it." placeholder:"NAME"`
-	Out        string       `help:"File for the scenario that was found." default:"hunted.toml" placeholder:"FILE"`
+	Mutant     mutantName   `help:"Search with this mutant, a broken relay, in place of the unmodified one." placeholder:"NAME"`
+	Out        string       `help:"File for the worst scenario found." default:"hunted.toml" placeholder:"FILE"`
 	cli.ProgressFlags
 }
 
 var errPlans = errors.New("--plans must be above 0")
 
-// Run searches, and keeps the scenario that it finds.
+// Run searches for faults, and writes the worst scenario found into a file.
 func (c *huntCommand) Run(ctx context.Context, s *cli.Streams) error {
 	base, err := c.Scenario.load()
 	if err != nil {
@@ -41,7 +41,7 @@
 		Seed:       c.Seed,
 		Mutant:     mutant,
 		Progress: func(done int, worst experiment.Candidate) {
-			progress.Update("%d of %d  worst: service %.3f  %d rules broken",
+			progress.Update("%d of %d  worst: service %.3f  %d rules violated",
 				done, c.Candidates, worst.Service, len(worst.ViolatedRules))
 		},
 	}
@@ -65,7 +65,7 @@
 func (c *huntCommand) printCandidate(s *cli.Streams, found experiment.Candidate) error {
 	out := cli.NewPrinter(s.Out)
 	faults := found.Scenario.Faults
-	out.Printf("worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
+	out.Printf("worst of %d variants: service %.3f, %d faults, seed %d; written to %s; play it with: emulate run %s\n",
 		c.Candidates, found.Service, len(faults), found.Seed, c.Out, c.Out)
 	for _, fault := range faults {
 		out.Printf("  %v  %s for %v  destinations %v share %.2f relays %v\n", fault.Start.AsDuration(),
--- a/cmd/emulate/main_test.go
+++ b/cmd/emulate/main_test.go
@@ -24,7 +24,7 @@
 values = [5, 40]
 `
 
-// TestCommands runs command lines one after the other; some read the files of earlier ones.
+// TestCommands runs command lines in sequence. Some of them read files that earlier ones wrote.
 func TestCommands(t *testing.T) {
 	t.Chdir(t.TempDir())
 	plan := filepath.Join(t.TempDir(), "plan.toml")
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		args   string
 		status int
-		want   string // in the output
+		want   string // part of the output
 	}{
 		{"run first-run", exitHeld, "6 held"},
 		{"run first-run --out report", exitHeld, "report.html"},
@@ -54,11 +54,11 @@
 		{"compare " + results + " " + results, exitHeld, "no difference seen"},
 		{"report " + results, exitHeld, "page:"},
 		{"check --world repeats --depth 5", exitHeld, "all rules held"},
-		{"check --world repeats --depth 8 --mutant any-zone", exitViolated, "kept in counterexample.json"},
+		{"check --world repeats --depth 8 --mutant any-zone", exitViolated, "written to counterexample.json"},
 		{"check --replay counterexample.json", exitViolated, "BROKEN"},
-		{"check --world nowhere", exitFailed, "no world"},
+		{"check --world nowhere", exitFailed, "no model"},
 		{"check --list", exitHeld, "return-many"},
-		{"hunt -q quiet-day --plans 3 --mutant drains-ignored", exitViolated, "kept in hunted.toml"},
+		{"hunt -q quiet-day --plans 3 --mutant drains-ignored", exitViolated, "written to hunted.toml"},
 		{"run hunted.toml --mutant drains-ignored", exitViolated, "BROKEN"},
 		{power + " --scenarios half-draining --mutants drains-ignored,news-3s-late", exitHeld, "0 wrong verdicts"},
 		{power + " --scenarios quiet-day --mutants drains-ignored", exitViolated, "NOT CONVICTED"},
@@ -67,14 +67,14 @@
 		{"scale --worlds 3", exitFailed, "RELAYSxDESTINATIONS"},
 		{"scale --worlds 1x600000", exitFailed, "1200000 endpoints, 1000000 at most"},
 		{"scale --worlds 5001x10", exitFailed, "relays must be 1 to 5000"},
-		{"faults changes", exitHeld, "60 changes; 0 that some relay does not have"},
-		{"faults changes --mutant drains-ignored", exitViolated, "takes nothing new: "},
-		{"faults outages --relays 4,40", exitHeld, "pushed over: 0"},
-		{"faults outages --mutant budget-for-itself", exitViolated, "pushed over: "},
-		{"faults zone --judged", exitHeld, "3 relays ended"},
+		{"faults changes", exitHeld, "60 list changes, of which 0 did not reach all relays"},
+		{"faults changes --mutant drains-ignored", exitViolated, "received that it drains or is removed: "},
+		{"faults outages --relays 4,40", exitHeld, "overloads during warm-up: 0"},
+		{"faults outages --mutant budget-for-itself", exitViolated, "overloads during warm-up: "},
+		{"faults zone --judged", exitHeld, "3 relays terminated or killed"},
 		{"faults zone --judged --mutant restart-forgets-sends", exitViolated, "no effect happens twice: BROKEN"},
-		{"faults restarts --judged", exitHeld, "2 relays ended"},
-		{manyRelays, exitHeld, "20 relays ended"},
+		{"faults restarts --judged", exitHeld, "2 relays terminated or killed"},
+		{manyRelays, exitHeld, "20 relays terminated or killed"},
 		{manyRelays + " --mutant journal-not-restored", exitViolated, "no message is lost: BROKEN"},
 		{"--help", exitHeld, "experiment"},
 	} {
--- a/cmd/emulate/memory.go
+++ b/cmd/emulate/memory.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// memoryInterval is how often a memoryWatch looks at the memory in use.
+// memoryInterval is the interval at which a memoryWatch reads the memory in use.
 const memoryInterval = 100 * time.Millisecond
 
 // bytesPerMB converts printed amounts of memory.
 const bytesPerMB = 1e6
 
-// heapBytes returns the bytes of the heap in use after a collection.
+// heapBytes runs a garbage collection and returns the bytes of the heap in use after it.
 func heapBytes() int64 {
 	debug.FreeOSMemory()
 	var stats runtime.MemStats
@@ -22,7 +22,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// residentBytes returns how much of the machine's memory the process holds.
+// residentBytes returns the bytes of memory that the Go runtime has obtained from the operating system and not
+// returned.
 func residentBytes() int64 {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/total:bytes"},
@@ -34,13 +35,13 @@
 
 // memoryWatch records the peak of the memory that the process holds.
 type memoryWatch struct {
-	peak int64 // of its goroutine until done is closed
+	peak int64 // in bytes; belongs to the goroutine of run until done is closed
 	quit chan struct{}
 	done chan struct{}
 	once sync.Once
 }
 
-// watchMemory begins a watch, which the caller stops.
+// watchMemory starts a memoryWatch. The caller must stop it.
 func watchMemory() *memoryWatch {
 	w := &memoryWatch{quit: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -15,34 +15,35 @@
 )
 
 type powerCommand struct {
-	Mutants   []string       `help:"Mutants; default: all, and the sound relay."`
-	Scenarios []scenarioName `help:"Scenarios; default: all that come with the kit."`
-	Seeds     int            `help:"Seeds of each scenario." default:"2"`
-	UseModels bool           `name:"check" help:"Play the tiny worlds, too." default:"true" negatable:""`
-	MaxDepth  int            `name:"depth" help:"Moves on a path of a tiny world at most; 0: the world's."`
+	Mutants   []string       `help:"Mutants to play, besides the unmodified relay; default: all."`
+	Scenarios []scenarioName `help:"Scenarios to play; default: all shipped scenarios."`
+	Seeds     int            `help:"Number of seeds of each scenario." default:"2"`
+	UseModels bool           `name:"check" help:"Check the small models, too." default:"true" negatable:""`
+	MaxDepth  int            `name:"depth" help:"Maximum number of moves on a path of a model; 0: each model's own."`
 }
 
 // detector is a scenario or a model that may detect mutants.
 type detector struct {
 	name     string
-	allRules bool           // it may violate any rule
-	rules    []checker.Rule // else: those that it tests enough to detect a mutant by
+	allRules bool           // can detect mutants of any rule
+	rules    []checker.Rule // the rules whose mutants it can detect, if allRules is false
 	run      func(context.Context, *emulate.Mutant) detection
 }
 
-// covers tells whether it is worth running the detector on a mutant. nil is the relay as it is.
+// covers reports whether to run the detector on a mutant. It always runs on the unmodified relay, which is nil, and on
+// mutants that violate no rule: it must not detect them.
 func (d detector) covers(mutant *emulate.Mutant) bool {
 	return mutant == nil || mutant.Rule == "" || d.allRules || slices.Contains(d.rules, mutant.Rule)
 }
 
-// detection is what a detector found about a mutant.
+// detection is the outcome of a detector for a mutant.
 type detection struct {
 	violated []checker.Rule
 	err      error
 }
 
-// Run runs all detectors on all mutants and on the relay as it is. It fails if no detector detects a mutant, or if one
-// detects the relay as it is or an equivalent mutant.
+// Run runs all detectors on all mutants and on the unmodified relay. The exit status is exitViolated if some mutant is
+// detected by no detector, or if a detector detects the unmodified relay or an equivalent mutant.
 func (c *powerCommand) Run(ctx context.Context, s *cli.Streams) error {
 	detectors, err := c.detectors()
 	if err != nil {
@@ -65,7 +66,7 @@
 	return printPower(s, mutants, detectors, detections)
 }
 
-// mutants returns nil, which is the relay as it is, and the mutants.
+// mutants returns the mutants to play, after nil for the unmodified relay.
 func (c *powerCommand) mutants() []*emulate.Mutant {
 	mutants := []*emulate.Mutant{nil}
 	for _, mutant := range emulate.Mutants() {
@@ -76,7 +77,7 @@
 	return mutants
 }
 
-// detectors returns the scenarios, and behind them the models.
+// detectors returns a detector for each scenario, followed by one for each model.
 func (c *powerCommand) detectors() (detectors []detector, err error) {
 	names := c.Scenarios
 	if len(names) == 0 {
@@ -107,7 +108,7 @@
 	return detectors, nil
 }
 
-// detectByScenario plays a scenario with several seeds.
+// detectByScenario plays a scenario with the seeds from 1, and returns the rules that are violated.
 func detectByScenario(file scenario.File, mutant *emulate.Mutant, seeds int) (found detection) {
 	for seed := range seeds {
 		world, err := experiment.Simulate(file.Draw(uint64(seed+1)), emulate.Options{Record: true, Mutant: mutant})
@@ -123,7 +124,7 @@
 	return found
 }
 
-// detectByModel checks a model.
+// detectByModel checks a model, and returns the first violated rule.
 func detectByModel(ctx context.Context, model *modelcheck.Model, mutant *emulate.Mutant, depth int) detection {
 	options := modelcheck.Options{Mutant: mutant, MaxDepth: depth, Workers: 1}
 	result, err := modelcheck.Check(ctx, model, options)
@@ -133,16 +134,16 @@
 	return detection{violated: []checker.Rule{result.Violation.Rule}}
 }
 
-// powerRow is what the detectors found about one mutant.
+// powerRow holds the outcomes of all detectors for one mutant.
 type powerRow struct {
 	name       string
-	rule       checker.Rule // that the mutant violates; "": none
-	detectedBy []string
-	otherRules []string // detectors by which it violates another rule only
+	rule       checker.Rule // the rule that the mutant violates; "": none
+	detectedBy []string     // names of the detectors that found a violation of rule
+	otherRules []string     // the detectors that found violations of other rules only, with the first such rule
 }
 
 func newPowerRow(mutant *emulate.Mutant, detectors []detector, detections []detection) (powerRow, error) {
-	row := powerRow{name: "(sound)"}
+	row := powerRow{name: "(unmodified)"}
 	if mutant != nil {
 		row.name, row.rule = mutant.Name, mutant.Rule
 	}
@@ -160,7 +161,8 @@
 	return row, nil
 }
 
-// verdict describes the row. ok is false where a mutant is not detected, or a relay that violates no rule is.
+// verdict describes whether the mutant was detected. ok is false if a mutant that violates a rule was not detected,
+// or if a relay that violates no rule was.
 func (r powerRow) verdict() (text string, ok bool) {
 	switch {
 	case r.rule == "" && len(r.detectedBy)+len(r.otherRules) == 0:
@@ -187,10 +189,10 @@
 		}
 		out.Printf("%-28s %-42s %-18s %s", row.name, row.rule, verdict, strings.Join(row.detectedBy, " "))
 		if len(row.otherRules) > 0 {
-			out.Printf("; of another rule: %s", strings.Join(row.otherRules, " "))
+			out.Printf("; by another rule: %s", strings.Join(row.otherRules, " "))
 		}
 		out.Printf("\n")
 	}
-	out.Printf("%d mutants, %d scenarios and worlds, %d wrong verdicts\n", len(mutants)-1, len(detectors), wrong)
+	out.Printf("%d mutants, %d scenarios and models, %d wrong verdicts\n", len(mutants)-1, len(detectors), wrong)
 	return finish(out, ruleStatus(wrong == 0))
 }
--- a/cmd/emulate/report.go
+++ b/cmd/emulate/report.go
@@ -10,11 +10,11 @@
 )
 
 type reportCommand struct {
-	File string `arg:"" help:"Results of an experiment." type:"existingfile"`
-	Out  string `help:"The page." default:"experiment.html" placeholder:"FILE"`
+	File string `arg:"" help:"Results file of an experiment." type:"existingfile"`
+	Out  string `help:"File for the HTML page." default:"experiment.html" placeholder:"FILE"`
 }
 
-// Run writes a page about the results.
+// Run writes an HTML page about the results.
 func (c *reportCommand) Run(s *cli.Streams) error {
 	results, err := readResults(c.File)
 	if err != nil {
--- a/cmd/emulate/run.go
+++ b/cmd/emulate/run.go
@@ -12,13 +12,13 @@
 )
 
 type runCommand struct {
-	Scenario scenarioName `arg:"" help:"A scenario that comes with the rehearsal kit, or a file."`
+	Scenario scenarioName `arg:"" help:"Name of a shipped scenario, or a file."`
 	Seed     uint64       `help:"Seed of the plan; 0: the scenario's own."`
-	Mutant   mutantName   `help:"Play it with a relay that has this wrong about it." placeholder:"NAME"`
-	Out      string       `help:"Folder for the report, with its plots; default: none is written." placeholder:"DIR"`
+	Mutant   mutantName   `help:"Play this mutant, a broken relay, in place of the unmodified one." placeholder:"NAME"`
+	Out      string       `help:"Directory for a report with charts; default: no report is written." placeholder:"DIR"`
 }
 
-// Run plays a scenario, checks the rules, and reports.
+// Run plays a scenario, checks the rules, and prints a summary. It writes a report if the command names a directory.
 func (c *runCommand) Run(s *cli.Streams) error {
 	file, err := c.Scenario.load()
 	if err != nil {
@@ -43,7 +43,7 @@
 		return err
 	}
 	out := cli.NewPrinter(s.Out)
-	out.Printf("played in %v: %d events, %d steps of modules\n", elapsed, world.EventCount(), world.Steps)
+	out.Printf("played in %v: %d events, %d steps of decision engines\n", elapsed, world.EventCount(), world.Steps)
 	if c.Out != "" {
 		if err := os.MkdirAll(c.Out, 0o700); err != nil {
 			return err
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -16,33 +16,32 @@
 
 //nolint:lll // A struct tag is one line.
 type scaleCommand struct {
-	Relays       []int    `help:"Numbers of relays." default:"1,2,10,100"`
-	Destinations int      `help:"Destinations." default:"100"`
-	Sizes        []string `name:"worlds" help:"Numbers of relays and of destinations, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
+	Relays       []int    `help:"Numbers of relays; one run for each." default:"1,2,10,100"`
+	Destinations int      `help:"Number of destinations." default:"100"`
+	Sizes        []string `name:"worlds" help:"Numbers of relays and of destinations of each run, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
 	loadFlags
 	Seed uint64 `default:"1"`
 }
 
-// scaleRow is the measures of one world.
+// scaleRow holds the measurements of one run.
 type scaleRow struct {
-	size      worldSize
+	size      simulationSize
 	measures  map[string]float64
 	submitted int
 	overloads int
 	elapsed   time.Duration
-	peak      int64 // bytes that the process held
-	// The bytes of the heap: of a world with one relay and of each further one, before anything has happened, and of
-	// the world at its end.
-	oneRelay int64
-	perRelay float64
-	end      int64
+	peak      int64 // highest memory of the process, in bytes
+	// Heap sizes in bytes.
+	oneRelay int64   // of a simulation with one relay, before its start
+	perRelay float64 // of each further relay, before the start
+	end      int64   // of the whole simulation, at its end
 }
 
 // scaleColumns are the columns of the table.
 var scaleColumns = []struct {
 	title  string
 	width  int
-	format string // of a width and a value
+	format string // for a width and a value
 	value  func(scaleRow) any
 }{
 	{"relays", 7, "%*d", func(r scaleRow) any { return r.size.relays }},
@@ -64,24 +63,25 @@
 	{"B/pair", 8, "%*.1f", scaleRow.bytesPerPair},
 }
 
-// bytesPerDestination returns what a destination takes beside the relays.
+// bytesPerDestination returns the heap that a destination takes before the start, without the relays.
 func (r scaleRow) bytesPerDestination() any {
 	return (float64(r.oneRelay) - r.perRelay) / float64(r.size.destinations)
 }
 
-// bytesPerPair returns what the messages have left behind, for each pair of a relay and a destination.
+// bytesPerPair returns the heap at the end beyond that of a simulation with one relay before its start, for each pair
+// of a relay and a destination. It estimates the state that the messages leave behind.
 func (r scaleRow) bytesPerPair() any {
 	return float64(r.end-r.oneRelay) / float64(r.size.relays) / float64(r.size.destinations)
 }
 
-// Run plays a world of each size under the same load, and prints a row for each.
+// Run plays a simulation of each size under the same load, and prints a row for each.
 func (c *scaleCommand) Run(ctx context.Context, s *cli.Streams) error {
-	sizes, err := c.worldSizes()
+	sizes, err := c.simulationSizes()
 	if err != nil {
 		return err
 	}
 	out := cli.NewPrinter(s.Out)
-	out.Printf("%v of virtual time, %g messages a second\n", c.Length, c.Rate)
+	out.Printf("%v of virtual time, %g messages per second\n", c.Length, c.Rate)
 	for i, column := range scaleColumns {
 		out.Printf("%s%*s", columnSeparator(i), column.width, column.title)
 	}
@@ -109,8 +109,8 @@
 	return " "
 }
 
-// worldSizes returns the sizes that the flags name.
-func (c *scaleCommand) worldSizes() (sizes []worldSize, err error) {
+// simulationSizes returns the sizes that the flags name.
+func (c *scaleCommand) simulationSizes() (sizes []simulationSize, err error) {
 	for _, text := range c.Sizes {
 		relays, destinations, ok := strings.Cut(text, "x")
 		r, errRelays := strconv.Atoi(relays)
@@ -118,19 +118,19 @@
 		if !ok || errRelays != nil || errDestinations != nil || r < 1 || d < 1 {
 			return nil, fmt.Errorf("--worlds: %q is not RELAYSxDESTINATIONS, such as 300x1000", text)
 		}
-		sizes = append(sizes, worldSize{relays: r, destinations: d})
+		sizes = append(sizes, simulationSize{relays: r, destinations: d})
 	}
 	if len(sizes) == 0 {
 		for _, relays := range c.Relays {
-			sizes = append(sizes, worldSize{relays: relays, destinations: c.Destinations})
+			sizes = append(sizes, simulationSize{relays: relays, destinations: c.Destinations})
 		}
 	}
 	return sizes, nil
 }
 
-// measure plays a world. Its memory is the heap after a collection, in three states: with one relay and with all before
-// anything has happened, and at the end.
-func (c *scaleCommand) measure(size worldSize) (scaleRow, error) {
+// measure plays a simulation of a size. It measures the heap, after a garbage collection, in three states: before the
+// start with one relay, before the start with all relays, and at the end.
+func (c *scaleCommand) measure(size simulationSize) (scaleRow, error) {
 	row := scaleRow{size: size}
 	file := c.scenario(size)
 	if err := file.ValidateWithin(scenario.EmulatorBounds); err != nil {
@@ -168,7 +168,8 @@
 	return emulate.New(file.DrawWithoutArrivals(c.Seed), emulate.Options{ZoneLatency: zoneLatency})
 }
 
-// heapWithOneRelay returns the bytes of a world with one of its relays.
+// heapWithOneRelay returns the bytes of the heap that a simulation of the scenario with a single relay takes before its
+// start.
 func (c *scaleCommand) heapWithOneRelay(file scenario.File) (int64, error) {
 	file = file.Clone()
 	file.Relays = 1
--- a/cmd/emulate/setup.go
+++ b/cmd/emulate/setup.go
@@ -10,19 +10,19 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// What several commands have in common: the scenarios and mutants that they are given, and the exit status.
+// This file holds what several commands use: the names of scenarios and mutants as arguments, and the exit statuses.
 
-// scenarioName names a shipped scenario, or a file.
+// scenarioName is the name of a shipped scenario, or the path of a scenario file.
 type scenarioName string
 
 func (n scenarioName) load() (scenario.File, error) {
 	return scenario.LoadWithin(string(n), scenario.EmulatorBounds)
 }
 
-// mutantName names a mutant. The empty name is the relay as it is.
+// mutantName is the name of a mutant. The empty name stands for the unmodified relay.
 type mutantName string
 
-// find returns the mutant, or nil for the relay as it is.
+// find returns the mutant, or nil for the unmodified relay.
 func (n mutantName) find() (*emulate.Mutant, error) {
 	if n == "" {
 		return nil, nil
@@ -33,12 +33,13 @@
 		for _, m := range emulate.Mutants() {
 			names = append(names, m.Name)
 		}
-		return nil, fmt.Errorf("no mutant %q: one of %s", string(n), strings.Join(names, ", "))
+		return nil, fmt.Errorf("no mutant %q; must be one of %s", string(n), strings.Join(names, ", "))
 	}
 	return mutant, nil
 }
 
-// finish ends a command that has printed all its output.
+// finish returns the result of a command that has printed all its output: an error if printing failed or if the exit
+// status is not exitHeld.
 func finish(out *cli.Printer, status int) error {
 	if err := out.Err(); err != nil {
 		return err
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// ruleStatus is the exit status of a command that checked the rules.
+// ruleStatus returns the exit status of a command that checked the rules.
 func ruleStatus(held bool) int {
 	if held {
 		return exitHeld
@@ -57,7 +58,7 @@
 	return exitViolated
 }
 
-// resultStatus is the exit status for the result of one run.
+// resultStatus returns the exit status for the result of one run.
 func resultStatus(result checker.Result) int {
 	switch result.State() {
 	case checker.Violated:
--- a/cmd/emulate/world.go
+++ b/cmd/emulate/world.go
@@ -6,27 +6,27 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// zoneLatency is added between zones of a large world.
+// zoneLatency is the additional one-way latency between a relay and an endpoint of another zone in a large simulation.
 const zoneLatency = 2 * time.Millisecond
 
-// worldSize is the size of a large world.
-type worldSize struct{ relays, destinations int }
+// simulationSize is the size of a large simulation.
+type simulationSize struct{ relays, destinations int }
 
-// loadFlags are the flags for the load on a large world.
+// loadFlags are the flags for the load on a large simulation.
 type loadFlags struct {
-	Rate   float64       `help:"Messages a second, of all clients." default:"200"`
-	Length time.Duration `help:"Virtual time." default:"1m"`
+	Rate   float64       `help:"Messages per second from all clients together." default:"200"`
+	Length time.Duration `help:"Length of the run in virtual time." default:"1m"`
 }
 
-// scenario returns a world that differs in nothing but its size: its destinations take twice their mean load, and a
-// tenth of them fails for ten seconds at half time.
-func (l loadFlags) scenario(size worldSize) scenario.File {
+// scenario returns a scenario of a size. It is the same for all sizes otherwise: each destination accepts twice its
+// mean load, and a tenth of the destinations fail all calls for at most ten seconds from the middle of the run.
+func (l loadFlags) scenario(size simulationSize) scenario.File {
 	file := scenario.File{
 		Name:    "scale",
 		Length:  scenario.Duration(l.Length),
 		Relays:  size.relays,
 		Zones:   []string{"north", "south"},
-		Classes: largeWorldClasses(),
+		Classes: largeSimulationClasses(),
 		DestinationKinds: []scenario.DestinationKind{{
 			Name:                 "store",
 			ServiceTime:          scenario.Duration(200 * time.Millisecond),
@@ -53,7 +53,7 @@
 	return file
 }
 
-func largeWorldClasses() []scenario.Class {
+func largeSimulationClasses() []scenario.Class {
 	const lateWeightRatio = 0.4
 	return []scenario.Class{
 		{
