--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -31,7 +31,7 @@
 }
 
 // covers reports whether to run the detector on a mutant. It always runs on the unmodified relay, which is nil, and on
-// mutants that violate no rule: it must not detect them.
+// mutants that violate no rule, because no detector may detect these.
 func (d detector) covers(mutant *emulate.Mutant) bool {
 	return mutant == nil || mutant.Rule == "" || d.allRules || slices.Contains(d.rules, mutant.Rule)
 }
--- a/internal/simulation/experiment/assign.go
+++ b/internal/simulation/experiment/assign.go
@@ -17,15 +17,15 @@
 
 // The errors for a value that has the wrong type or is out of its bounds.
 var (
-	errNotNumber      = errors.New("must be a number")
-	errNotWholeNumber = errors.New("must be an integer of at least 0")
-	errNotDuration    = errors.New(`must be a duration of at least 0, such as "1.5s"`)
-	errNotBool        = errors.New("must be true or false")
-	errNotText        = errors.New("must be a string")
-	errNotFraction    = errors.New("must be a fraction from 0 to 1")
-	errNotCount       = errors.New("must be a whole number of at least 0")
-	errUnknownMutant  = errors.New("no such mutant")
-	errNotSettable    = errors.New("a field of this type cannot be set")
+	errNotNumber     = errors.New("must be a number")
+	errNotInteger    = errors.New("must be an integer of at least 0")
+	errNotDuration   = errors.New(`must be a duration of at least 0, such as "1.5s"`)
+	errNotBool       = errors.New("must be true or false")
+	errNotString     = errors.New("must be a string")
+	errNotFraction   = errors.New("must be a fraction from 0 to 1")
+	errNotCount      = errors.New("must be a whole number of at least 0")
+	errUnknownMutant = errors.New("no such mutant")
+	errNotSettable   = errors.New("a field of this type cannot be set")
 )
 
 // The errors for an unknown key after the prefix "emulator." or "module." of a path. Each lists the known keys.
@@ -184,7 +184,7 @@
 	case reflect.String:
 		s, ok := value.(string)
 		if !ok {
-			return errNotText
+			return errNotString
 		}
 		field.SetString(s)
 		return nil
@@ -195,7 +195,7 @@
 func setInteger(field reflect.Value, value any) error {
 	n, ok := value.(int64)
 	if !ok || n < 0 {
-		return errNotWholeNumber
+		return errNotInteger
 	}
 	if field.Kind() == reflect.Int {
 		field.SetInt(n)
--- a/internal/simulation/experiment/assign_test.go
+++ b/internal/simulation/experiment/assign_test.go
@@ -51,13 +51,13 @@
 		value any
 		want  error
 	}{
-		{"relays", int64(-1), errNotWholeNumber},
-		{"relays", 1.5, errNotWholeNumber},
+		{"relays", int64(-1), errNotInteger},
+		{"relays", 1.5, errNotInteger},
 		{"traffic.1.rate", "fast", errNotNumber},
 		{"length", "-1s", errNotDuration},
 		{"length", "long", errNotDuration},
 		{"fleet.enabled", int64(1), errNotBool},
-		{"traffic.1.class", int64(1), errNotText},
+		{"traffic.1.class", int64(1), errNotString},
 		{"zones", "a", errNotSettable},
 		{"emulator.idle_resets", 1.1, errNotFraction},
 		{"emulator.idle_resets", true, errNotNumber},
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -17,7 +17,7 @@
 type Difference struct {
 	Measure    string
 	Pairs      int
-	A, B       float64 // means
+	A, B       float64 // means of the measure
 	Mean       float64 // mean of B - A
 	Low, High  float64 // confidence interval of Mean
 	Confidence float64 // confidence level of the interval
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -20,9 +20,9 @@
 const (
 	// maxRuns is the largest number of runs of an experiment.
 	maxRuns = 100_000
-	// defaultSeeds is the number of seeds of a plan that does not set it.
+	// defaultSeeds is the number of seeds of a plan that does not set Plan.Seeds.
 	defaultSeeds = 10
-	// defaultFirstSeed is the first seed of a plan that does not set it.
+	// defaultFirstSeed is the first seed of a plan that does not set Plan.FirstSeed.
 	defaultFirstSeed = 1
 )
 
--- a/internal/simulation/experiment/result.go
+++ b/internal/simulation/experiment/result.go
@@ -54,7 +54,7 @@
 func ReadResults(r io.Reader) (results []Result, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineSize)
-	var invalid error // an error of the file only if another line follows
+	var invalid error // returned only if another line follows the invalid one
 	for number := 1; lines.Scan(); number++ {
 		if invalid != nil {
 			return results, invalid
