--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -8,8 +8,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// call is a call from a relay to an endpoint, with the attempts of one or more messages. Each side has its own state of
-// it, and learns of the other's a network latency later.
+// call is a call from a relay to an endpoint, with the attempts of one or more messages. The relay and the endpoint
+// each have their own state of the call. A change at one side reaches the other after the network latency.
 type call struct {
 	relay     *relay
 	endpoint  *endpoint
@@ -18,15 +18,15 @@
 	timeoutAt time.Duration
 	attempts  []*attempt
 
-	// The relay's side.
+	// State at the relay.
 	newConnection bool
 	sent          bool
 	sentAt        time.Duration
 	ended         bool
 
-	// The endpoint's side.
-	closedOnRequest bool // the connection exceeds Options.MaxConnections, and is closed under the request
-	received        bool // completely
+	// State at the endpoint.
+	closedOnRequest bool // the connection exceeds Options.MaxConnections, and is closed when the request arrives
+	received        bool // the endpoint received the call's last byte
 	endedAtEndpoint bool
 }
 
@@ -41,7 +41,7 @@
 // attemptResult is the outcome of an attempt.
 type attemptResult struct {
 	outcome      policy.Outcome
-	messageEnded bool // the endpoint knows that the message must not be attempted again
+	messageEnded bool // the endpoint answered that the message must not be attempted again
 	retryAfter   time.Duration
 	latency      time.Duration
 }
@@ -63,7 +63,7 @@
 	return latency
 }
 
-// schedule schedules something at the relay, unless the call has ended there by then.
+// schedule has a function run after a delay, unless the call has ended at the relay by then.
 func (c *call) schedule(delay time.Duration, run func()) {
 	c.relay.world.ScheduleAfter(delay, func() {
 		if !c.ended {
@@ -99,7 +99,7 @@
 	c.schedule(c.latency(), c.connect)
 }
 
-// connect is the arrival of a connection's first packet at the endpoint.
+// connect handles the arrival of a new connection's first packet at the endpoint.
 func (c *call) connect() {
 	w, e := c.relay.world, c.endpoint
 	connectTimeout := w.plan.File.Settings.ConnectTimeout.AsDuration()
@@ -129,7 +129,7 @@
 	}
 }
 
-// connected has the next step check whether the call may still be sent.
+// connected handles the established connection: the relay's next step checks whether the call may still be sent.
 func (c *call) connected() {
 	c.relay.awaitingCheck = append(c.relay.awaitingCheck, c)
 	c.relay.scheduleStep()
@@ -141,7 +141,7 @@
 	c.sent = true
 	c.sentAt = w.Now()
 	if c.closedOnRequest || c.drawIdleReset() {
-		c.endedAtEndpoint = true // it never has the call
+		c.endedAtEndpoint = true // the call never reaches the endpoint
 		roundTrip := 2 * c.latency()
 		c.scheduleEnd(roundTrip, attemptResult{outcome: policy.Reset, latency: roundTrip})
 		return
@@ -176,20 +176,20 @@
 	c.relay.callEnded(c, attemptResult{outcome: outcome, latency: latency})
 }
 
-// abandon ends the call with the relay's process.
+// abandon ends the call because the relay's process ends.
 func (c *call) abandon() {
 	c.ended = true
 	c.closeConnection()
 }
 
-// closeConnection closes the connection at the relay.
+// closeConnection closes the connection at the relay. The endpoint observes the end after the network latency.
 func (c *call) closeConnection() {
 	if c.sent && !c.endedAtEndpoint {
 		c.relay.world.ScheduleAfter(c.latency(), func() { c.endAtEndpoint(eventlog.CauseRelay) })
 	}
 }
 
-// callEnded takes the end of a call: the result of each attempt, or one for all of them.
+// callEnded ends a call at the relay, with one result for each attempt, or a single result for all attempts.
 func (r *relay) callEnded(c *call, results ...attemptResult) {
 	if c.ended {
 		return
@@ -202,7 +202,7 @@
 	r.scheduleStep()
 }
 
-// attemptEnded journals the outcome of an attempt, and has the engine observe it in the next step.
+// attemptEnded journals the outcome of an attempt, and posts it to the engine for the relay's next step.
 func (r *relay) attemptEnded(c *call, a *attempt, result attemptResult) {
 	m := a.message
 	delivered := result.outcome == policy.OK
@@ -241,7 +241,7 @@
 	})
 }
 
-// deliveredLate ends a message whose attempt timed out before its call, and then was delivered after all.
+// deliveredLate ends a message whose attempt timed out before its call ended, and whose call then delivered it.
 func (r *relay) deliveredLate(m *message) {
 	if !m.ended {
 		r.pendingEvents = append(r.pendingEvents, policy.Event{Kind: policy.MessageCancelled, MessageID: m.id})
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -10,25 +10,25 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The clients behave like those of the rehearsals.
+// The clients behave like the clients of rehearsals with real processes.
 const (
-	// reconnectDelay is from the start of a relay to the submissions of clients that could not connect before.
+	// reconnectDelay is the time from when a relay listens again until clients that could not connect submit again.
 	reconnectDelay = 50 * time.Millisecond
-	// resubmitDelay is from a lost answer to the next submission.
+	// resubmitDelay is the time from when a connection closes without an answer until the client submits again.
 	resubmitDelay = 100 * time.Millisecond
-	// maxRejections is after how many rejections a client submits once more.
+	// maxRejections is how many rejected submissions a client retries, per message.
 	maxRejections = 1
-	// maxUnanswered is after how many lost answers a client submits once more.
+	// maxUnanswered is how many submissions without an answer a client retries, per message.
 	maxUnanswered = 1
 )
 
 // clientMessage is a message of a client, over all its submissions.
 type clientMessage struct {
-	submittedAt time.Duration // for the first time
+	submittedAt time.Duration // time of the first submission
 	class       int
 	customer    int
 	destination int
-	overShare   bool // its customer exceeded its share then
+	overShare   bool // the first submission exceeded the customer's share
 	delivered   bool
 }
 
@@ -40,12 +40,12 @@
 	firstID    string
 	deadline   time.Duration
 	retries    int  // submissions of the message before this one
-	rejections int  // of them and this one
-	unanswered int  // likewise
-	ended      bool // answered, or its connection closed
+	rejections int  // rejected submissions of the message so far, this one included
+	unanswered int  // submissions whose connection closed without an answer, this one included
+	ended      bool // this submission was answered, or its connection closed
 }
 
-// Submit has a client submit a message, and again as clients do. Relays and classes are counted from 0.
+// Submit has a client submit a message, with retries as the client makes them. Relays and classes are counted from 0.
 func (w *World) Submit(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
 	message := &clientMessage{
@@ -137,7 +137,7 @@
 	s.world.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: s.ID, Relay: r.name, Cause: cause})
 }
 
-// answer is the relay's answer to the client: an HTTP status, and a Retry-After if it is above 0.
+// answer sends the relay's answer to the client: an HTTP status, and a Retry-After header if retryAfter is above 0.
 func (s *submission) answer(r *relay, status int, retryAfter time.Duration) {
 	s.ended = true
 	s.world.ScheduleAfter(s.world.options.Latency, func() {
@@ -157,7 +157,8 @@
 	})
 }
 
-// rejected takes a rejection: clients that retry submit again after their own delay or the Retry-After.
+// rejected handles a rejection. A client that retries waits for its own delay or for the Retry-After, whichever is
+// longer. The Retry-After counts only up to the MaxRetryAfter setting.
 func (s *submission) rejected(retryAfter time.Duration) {
 	s.world.Rejected++
 	s.rejections++
--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// unknownAttemptAge is the age of an attempt whose start cannot be dated: beyond every deduplication window.
+	// unknownAttemptAge is the age of an attempt whose start time is unknown. It exceeds every deduplication window.
 	unknownAttemptAge = 24 * time.Hour
-	// wallClockStart is what machines' wall clocks show at the start, in Unix seconds.
+	// wallClockStart is the time that all machines' wall clocks show when a run begins, in Unix seconds.
 	wallClockStart = 1e9
 )
 
-// machineClocks are the clocks of a relay's machine, and the timeline that the relay derives from them for its journal.
-// A relay dates what it reads from its journal by this timeline, and not by the time of the world.
+// machineClocks holds the clocks of a relay's machine, and the timeline that the relay derives from them for its
+// journal. A relay dates the entries that it reads from its journal by this timeline, not by the time of the world.
 type machineClocks struct {
-	stepped  time.Duration // by which the wall clock was stepped in all
-	boots    int
+	stepped  time.Duration // sum of all steps of the wall clock
+	boots    int           // reboots so far
 	bootedAt time.Duration
 
-	anchor           *clock.Anchor // in the journal
+	anchor           *clock.Anchor // stored in the journal; nil: none yet
 	timeline         clock.Timeline
 	processStartedAt time.Duration
 }
 
-// read reads the clocks at a time of the world. A relay that trusts the wall clock takes its steps for time passing.
+// read reads the clocks at a time of the world. For a relay that trusts the wall clock, the uptime includes the wall
+// clock's steps, so that the relay counts a step as elapsed time.
 func (c *machineClocks) read(now time.Duration, trustsWallClock bool) bootclock.Reading {
 	reading := bootclock.Reading{
 		Wall:   time.Unix(wallClockStart, 0).Add(now + c.stepped),
@@ -46,13 +47,14 @@
 	c.bootedAt = now
 }
 
-// start resumes the timeline in a new process.
+// start resumes the timeline in a new process from the stored anchor, if there is one, and stores the new anchor.
 func (c *machineClocks) start(now time.Duration, trustsWallClock bool) {
 	timeline, anchor := clock.Resume(c.anchor, c.read(now, trustsWallClock))
 	c.timeline, c.anchor, c.processStartedAt = timeline, &anchor, now
 }
 
-// end saves by how much the clocks have diverged, as a process does that shuts down gracefully.
+// end is called when a process exits gracefully. It stores a new anchor if the wall clock was stepped while the process
+// ran.
 func (c *machineClocks) end(now time.Duration, trustsWallClock bool) {
 	if _, anchor := clock.Resume(c.anchor, c.read(now, trustsWallClock)); anchor.WallOffset != c.anchor.WallOffset {
 		c.anchor = &anchor
@@ -64,12 +66,13 @@
 	return c.timeline.Stamp(c.timeline.Base.Add(at - c.processStartedAt))
 }
 
-// time translates a stamp of the timeline to the time of the world, as far as the process can know it.
+// time translates a stamp of the timeline to the time of the world, as the process estimates it.
 func (c *machineClocks) time(stamp int64) time.Duration {
 	return c.processStartedAt + c.timeline.Time(stamp).Sub(c.timeline.Base)
 }
 
-// age returns how long ago an attempt started, as far as the process can know it.
+// age returns how long ago an attempt started, as the process estimates it. The age is unknownAttemptAge if the machine
+// has rebooted since, or if the attempt seems to start in the future.
 func (c *machineClocks) age(a attemptRecord, now time.Duration) time.Duration {
 	age := now - c.time(a.startedAt)
 	if a.epoch != c.timeline.Epoch || age < 0 {
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// clockStepScenario is a small fleet whose services fall silent, so that calls are in flight when its relays are
-// killed. The wall clocks of the relays are stepped just before; 0: they are not.
+// clockStepScenario returns a scenario of a small fleet whose services stop answering, so that calls are in flight when
+// the relays are killed. One second before the first kill, the wall clocks of the relays are stepped, unless step is 0.
 func clockStepScenario(t *testing.T, step time.Duration) scenario.File {
 	t.Helper()
 	const second = scenario.Duration(time.Second)
@@ -33,24 +33,24 @@
 	return file
 }
 
-// TestClockSteps: the wall clocks of relays are stepped, forwards and backwards, by seconds and hours, before the
-// relays are killed with calls in flight. No rule is violated, and the decisions are those without steps. A relay whose
-// journal goes by the wall clock violates a rule.
+// TestClockSteps: the wall clocks of relays are stepped, forwards and backwards, by seconds and by an hour, before the
+// relays are killed with calls in flight. No rule is violated, and the figures are the same as without a step. Relays
+// whose journal follows the wall clock violate NoDuplicateEffect in at least one run.
 func TestClockSteps(t *testing.T) {
 	figures := func(w *World) [4]int { return [4]int{w.Submitted, w.CallsServed, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
 		without, rules := playAndCheck(t, clockStepScenario(t, 0).Draw(seed+1), Options{})
 		if len(rules) > 0 {
-			t.Errorf("seed %d: violated: %v", seed+1, rules)
+			t.Errorf("seed %d, clocks not stepped: violated rules %v, want none", seed+1, rules)
 		}
 		steps := []time.Duration{-time.Hour, -7 * time.Second, -2 * time.Second, 7 * time.Second, time.Hour}
 		for _, step := range steps {
 			w, rules := playAndCheck(t, clockStepScenario(t, step).Draw(seed+1), Options{})
 			if len(rules) > 0 {
-				t.Errorf("seed %d, clocks stepped by %v: violated: %v", seed+1, step, rules)
+				t.Errorf("seed %d, clocks stepped by %v: violated rules %v, want none", seed+1, step, rules)
 			}
 			if figures(w) != figures(without) {
-				t.Errorf("seed %d, set by %v: %v, %v where no clock was set",
+				t.Errorf("seed %d, clocks stepped by %v: figures %v, want %v as without a step",
 					seed+1, step, figures(w), figures(without))
 			}
 		}
@@ -64,13 +64,14 @@
 		}
 	}
 	if !violated {
-		t.Error("a relay whose journal goes by the wall clock keeps the rules")
+		t.Errorf("no run with a journal that follows the wall clock violated %s", checker.NoDuplicateEffect)
 	}
 }
 
-// TestRebootMakesAttemptAgesUnknown: after a reboot the time of earlier attempts is unknown, and they are not retried
-// whatever the clock shows. If the clock was stepped back and the machine crashed before a process noticed, final
-// answers are late by as much, up to the deadline of a class: nothing on disk tells.
+// TestRebootMakesAttemptAgesUnknown: after a reboot the age of earlier attempts is unknown, so that they are not
+// retried, whatever the wall clock shows. If the clock was stepped back and the machine crashed before a process stored
+// the step, final answers are late by the size of the step, up to the deadline of a class. Nothing on disk reveals the
+// step, so the test allows a violation of NoMessageLost in this case.
 func TestRebootMakesAttemptAgesUnknown(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
 		file := clockStepScenario(t, step)
@@ -90,7 +91,7 @@
 			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.NoMessageLost })
 		}
 		if len(rules) > 0 {
-			t.Errorf("clocks stepped by %v: violated: %v", step, rules)
+			t.Errorf("clocks stepped by %v: violated rules %v, want none", step, rules)
 		}
 	}
 }
--- a/internal/simulation/emulate/connectionpool.go
+++ b/internal/simulation/emulate/connectionpool.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// idleTimeoutRatio is how long a relay keeps an idle connection, of the time that endpoints keep one.
+	// idleTimeoutRatio is a relay's idle timeout as a ratio of the endpoints' KeepAliveTimeout, as in package egress.
 	idleTimeoutRatio = 0.8
-	// minPoolLimit is how many connection pools a relay keeps at least before it looks for empty ones.
+	// minPoolLimit is the least number of connection pools at which a relay drops the empty ones.
 	minPoolLimit = 64
 )
 
 // connectionPool holds the idle connections from a relay to an endpoint.
 type connectionPool struct {
-	epoch int             // the endpoint's connectionEpoch
-	idle  []time.Duration // when each was used last, in this order
+	epoch int             // the endpoint's connectionEpoch when the connections were opened
+	idle  []time.Duration // time of last use of each idle connection, in ascending order
 }
 
-// put adds a connection that was used until now.
+// put adds a connection that becomes idle now.
 func (p *connectionPool) put(now time.Duration) { p.idle = append(p.idle, now) }
 
-// countOpen closes the connections that were not used after a time, and returns how many are left.
+// countOpen closes the connections whose last use was not after a time, and returns how many are left.
 func (p *connectionPool) countOpen(after time.Duration) int {
 	expired := 0
 	for expired < len(p.idle) && p.idle[expired] <= after {
@@ -28,7 +28,8 @@
 	return len(p.idle)
 }
 
-// take takes the connection that was used last, if it was used after a time. It reports whether there is one.
+// take removes the most recently used connection for reuse, if its last use was after a time. It reports whether there
+// was such a connection.
 func (p *connectionPool) take(after time.Duration) bool {
 	if p.countOpen(after) == 0 {
 		return false
@@ -37,7 +38,7 @@
 	return true
 }
 
-// idleSince is the time of the last use of connections that have just become too old to be reused.
+// idleSince returns the time of last use up to which an idle connection is now too old to be reused.
 func (w *World) idleSince() time.Duration {
 	keepAlive := float64(w.plan.File.Settings.KeepAliveTimeout)
 	return w.Now() - time.Duration(idleTimeoutRatio*keepAlive)
@@ -60,14 +61,15 @@
 	if p == nil {
 		p = r.addPool(e)
 	}
-	if p.epoch != e.connectionEpoch { // its connections were reset
+	if p.epoch != e.connectionEpoch { // the endpoint's connections were reset
 		p.epoch = e.connectionEpoch
 		p.idle = p.idle[:0]
 	}
 	return p
 }
 
-// addPool adds a pool. When there are twice as many pools as the last cleanup left, the empty ones are dropped.
+// addPool adds a pool for an endpoint. If the relay has twice as many pools as the last cleanup left, and minPoolLimit
+// at least, addPool drops the empty ones first.
 func (r *relay) addPool(e *endpoint) *connectionPool {
 	if len(r.pools) >= r.maxPools {
 		for pooled, p := range r.pools {
--- a/internal/simulation/emulate/datagram.go
+++ b/internal/simulation/emulate/datagram.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxDatagramsWhileStalled is how many datagrams wait for a stalled process.
+	// maxDatagramsWhileStalled bounds the datagrams kept for a stalled process. Further datagrams are dropped.
 	maxDatagramsWhileStalled = 256
-	// ageUnit is the unit of ages on the wire, which are rounded up.
+	// ageUnit is the unit to which ages of reports are rounded up, as on the wire.
 	ageUnit = time.Millisecond
 )
 
-// The approximate sizes of what datagrams hold, in bytes.
+// Approximate encoded sizes of the parts of a datagram, in bytes.
 const (
 	reportSize     = 40
 	scopeSize      = 30
@@ -22,11 +22,12 @@
 	quotaEntrySize = 25
 )
 
-// datagram is a datagram from one process to another, with one of its contents.
+// datagram is a datagram from one relay's process to another's. Exactly one of reports, quota, clockRequest and
+// clockResponse is set.
 type datagram struct {
 	sender string
-	boot   uint32        // of the sending process
-	clock  time.Duration // of the sending process, when it was sent
+	boot   uint32        // Incarnation.Boot of the sending process
+	clock  time.Duration // the sending process's clock at the time of sending
 
 	reports       []loadreport.Report
 	quota         *quota.Message
@@ -34,13 +35,14 @@
 	clockResponse *clockResponse
 }
 
-// clockResponse answers a request for the clock of a process, with the boot and clock of the request.
+// clockResponse answers a clock request. It repeats the boot and clock of the request. The clock of the datagram is the
+// responder's own.
 type clockResponse struct {
 	boot  uint32
 	clock time.Duration
 }
 
-// size returns the approximate size of the reports or the quota message of a datagram.
+// size returns the approximate encoded size of the datagram's reports or quota message.
 func (d *datagram) size() (bytes int) {
 	for _, report := range d.reports {
 		bytes += reportSize + scopeSize*len(report.Scopes)
@@ -51,7 +53,7 @@
 	return bytes
 }
 
-// sendDatagram stamps a datagram with the process's clock and sends it.
+// sendDatagram stamps a datagram with the process's name, boot and clock, and sends it.
 func (m *fleetMember) sendDatagram(to *relay, d datagram) {
 	n := m.network
 	n.datagramCount++
@@ -62,7 +64,7 @@
 	}
 }
 
-// receiveDatagram takes a datagram that arrived. One for a stalled process waits.
+// receiveDatagram handles a datagram that arrived at the relay. While the process is stalled, datagrams are queued.
 func (r *relay) receiveDatagram(d datagram) {
 	m := r.member
 	switch {
@@ -74,7 +76,7 @@
 	}
 }
 
-// resume takes the datagrams that arrived while the process was stalled.
+// resume handles the datagrams that arrived while the process was stalled.
 func (m *fleetMember) resume() {
 	waiting := m.receivedWhileStalled
 	m.receivedWhileStalled = nil
@@ -83,7 +85,7 @@
 	}
 }
 
-// receive takes a datagram.
+// receive handles a datagram according to its contents.
 func (m *fleetMember) receive(d datagram) {
 	switch {
 	case d.clockRequest:
@@ -98,7 +100,8 @@
 	}
 }
 
-// receiveClock takes the clock of another process, and what was deferred until it is known.
+// receiveClock calibrates the clock of another process by its response, and handles the datagrams that were deferred
+// until then. It ignores a response to a request by another process of this relay.
 func (m *fleetMember) receiveClock(d datagram) {
 	if d.clockResponse.boot != m.reports.Incarnation().Boot {
 		return
@@ -108,12 +111,12 @@
 	}
 }
 
-// requestClock asks the sender of a datagram for its clock.
+// requestClock requests the clock of a datagram's sender.
 func (m *fleetMember) requestClock(d *datagram) {
 	m.sendDatagram(m.network.world.relay(d.sender), datagram{clockRequest: true})
 }
 
-// receiveQuota takes a quota message for the agent's next step, if its age can be known.
+// receiveQuota queues a quota message for the agent's next step. It drops a message whose transit time is unknown.
 func (m *fleetMember) receiveQuota(d datagram) {
 	now := m.clock()
 	transit, known, stale := m.inbox.Estimate(d.sender, d.boot, d.clock, now)
@@ -130,7 +133,8 @@
 	m.relay.scheduleStep()
 }
 
-// receiveReports merges load reports into the table, if their age can be known.
+// receiveReports merges load reports into the table. Reports whose transit time is unknown are deferred until the
+// sender's clock is received.
 func (m *fleetMember) receiveReports(d datagram) {
 	now := m.clock()
 	transit, known, request := m.inbox.Receive(d, d.sender, d.boot, d.clock, now)
@@ -148,7 +152,7 @@
 	}
 }
 
-// mergeReport merges a report into the table, and forwards it if it is news.
+// mergeReport merges a report into the table, and queues it for other relays if it updated the table.
 func (m *fleetMember) mergeReport(now time.Duration, report loadreport.Report) {
 	key, version := keyOf(&report), versionOf(&report)
 	lastReceivedWins := m.relay.mutant.linkFaults().LastReceivedWins
@@ -156,7 +160,7 @@
 		m.receivedCount++
 		report.Sequence = m.receivedCount
 	}
-	result, _ := m.reports.Merge(now, report) // a rejected report is dropped, as the result says
+	result, _ := m.reports.Merge(now, report) // the error is dropped: the result of a rejected report is not Updated
 	if result == loadreport.Rival && m.nameClaim.ObserveRival(now) {
 		m.takeOverName()
 	}
@@ -167,7 +171,7 @@
 	m.receivedAge[key] = report.Age
 	if lastReceivedWins {
 		if m.trueVersion[key] == version {
-			return // it was forwarded before
+			return // this version was forwarded before
 		}
 		m.trueVersion[key] = version
 	}
@@ -176,8 +180,8 @@
 	m.relay.scheduleStep()
 }
 
-// takeOverName begins an incarnation after that of a rival under the same name: usually an earlier process of this
-// relay, which its state folder does not know of.
+// takeOverName begins an incarnation later than that of a rival under the same name. The rival is usually an earlier
+// process of this relay whose incarnation is missing from the relay's state folder.
 func (m *fleetMember) takeOverName() {
 	m.relay.incarnation = m.reports.Rival().Generation + 1
 	m.newIncarnation = loadreport.Incarnation{Generation: m.relay.incarnation, Boot: m.reports.Incarnation().Boot}
--- a/internal/simulation/emulate/discovery.go
+++ b/internal/simulation/emulate/discovery.go
@@ -5,8 +5,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// receiveListUpdate takes a change of the endpoint list that reached the relay. The relay keeps its version of the list
-// while its process is down.
+// receiveListUpdate applies a change of the endpoint list that reached the relay. The relay's version of the list is
+// updated even while its process is down.
 func (r *relay) receiveListUpdate(u *listUpdate) {
 	if r.discoverySilent {
 		r.withheldUpdates = append(r.withheldUpdates, u)
@@ -43,7 +43,7 @@
 	}
 }
 
-// silenceDiscovery withholds all list updates from the relay, or delivers those that were withheld.
+// silenceDiscovery withholds all list updates from the relay if on is set. Otherwise it delivers the withheld updates.
 func (r *relay) silenceDiscovery(on bool) {
 	r.discoverySilent = on
 	if on {
@@ -56,7 +56,8 @@
 	}
 }
 
-// kindOf returns the kind of an endpoint as the relay's list has it.
+// kindOf returns the index of an endpoint's destination kind, or 0 if the relay's version of the list lacks the
+// endpoint.
 func (r *relay) kindOf(e *endpoint) int {
 	if e.stateAt(r.listVersion) == "" {
 		return 0
--- a/internal/simulation/emulate/endpoint.go
+++ b/internal/simulation/emulate/endpoint.go
@@ -15,19 +15,19 @@
 type endpoint struct {
 	scenario.Endpoint
 	index   int // in the order in which endpoints were added
-	zone    int
-	kind    int
+	zone    int // index of the scenario's Zones
+	kind    int // index of the scenario's DestinationKinds
 	service *Service
 
-	down        bool // its process does not run for now: connections are refused
-	unreachable bool // its machine is cut off: nothing arrives and nothing breaks
+	down        bool // its process is down temporarily: connections are refused
+	unreachable bool // its machine is cut off: nothing arrives there, and its connections do not break
 	stopped     bool // its process has ended for good
 
 	connectionEpoch int // incremented when all its connections are reset
 	calls           map[*call]struct{}
 	pools           map[*connectionPool]struct{} // of all relays; kept only if Options.MaxConnections is set
 
-	changes []entryChange // of its entry in the endpoint list
+	changes []entryChange // changes of its entry in the endpoint list, oldest first
 }
 
 func sortByID(endpoints []*endpoint) {
@@ -45,7 +45,7 @@
 func (w *World) addEndpoint(spec scenario.Endpoint) (*endpoint, error) {
 	service := w.services[spec.Service]
 	if service == nil {
-		return nil, fmt.Errorf("emulate: endpoint %s of unknown service %q", spec.ID, spec.Service)
+		return nil, fmt.Errorf("emulate: endpoint %s refers to unknown service %q", spec.ID, spec.Service)
 	}
 	e := &endpoint{
 		Endpoint: spec,
@@ -67,8 +67,8 @@
 	return slices.IndexFunc(kinds, func(k scenario.DestinationKind) bool { return k.Name == name })
 }
 
-// AddEndpoint starts the process of an endpoint and adds it to the endpoint list. If its service is new, it is like the
-// first service of its destination.
+// AddEndpoint starts the process of an endpoint and adds it to the endpoint list. If its service does not exist yet,
+// AddEndpoint creates it with the Spec of the service of the destination's first endpoint.
 func (w *World) AddEndpoint(spec scenario.Endpoint) {
 	if w.services[spec.Service] == nil {
 		w.addService(scenario.Service{
@@ -80,13 +80,13 @@
 	}
 	e, err := w.addEndpoint(spec)
 	if err != nil {
-		panic(err) // its service exists
+		panic(err) // unreachable: the service exists
 	}
 	e.AddedLater = true
 	w.ChangeEndpoint(spec.ID, eventlog.StateReady)
 }
 
-// firstEndpoint returns the first endpoint of a destination, which may have stopped.
+// firstEndpoint returns the first endpoint of a destination, even if it has stopped; nil if there is none.
 func (w *World) firstEndpoint(destination int) *endpoint {
 	for _, s := range w.Services(destination) {
 		if len(s.endpoints) > 0 {
--- a/internal/simulation/emulate/endpointlist.go
+++ b/internal/simulation/emulate/endpointlist.go
@@ -11,24 +11,24 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// There is one endpoint list for all relays. Its changes are numbered, and a relay gets them in this order: the number
-// of the last one that it got, its version of the list, determines what it knows of every entry. So nothing is kept for
-// a pair of a relay and a destination.
+// All relays share one endpoint list. Its changes are numbered, and each relay receives them in this order. The number
+// of the last change that a relay received is the relay's version of the list, and determines the state of every entry
+// at this relay. So no state is kept for a pair of a relay and a destination.
 
 // entryChange is a change of an entry of the endpoint list.
 type entryChange struct {
-	version int // of the list with this change, from 1
-	state   string
+	version int    // first version of the list with this change, counted from 1
+	state   string // a State constant of package eventlog
 }
 
 // listUpdate is a change of the endpoint list on its way to the relays.
 type listUpdate struct {
 	entryChange
 	endpoint *endpoint
-	growth   int // of the number of entries: 1, 0 or -1
+	growth   int // change in the number of entries: 1, 0 or -1
 }
 
-// stateAt returns the state of the endpoint's entry in a version of the list; "" if it has none there.
+// stateAt returns the state of the endpoint's entry in a version of the list; "" if that version has no such entry.
 func (e *endpoint) stateAt(version int) string {
 	state := eventlog.StateReady
 	if e.AddedLater {
@@ -46,7 +46,7 @@
 	return state
 }
 
-// entry returns the endpoint's entry with a state.
+// entry returns the endpoint's entry in a given state, in the form of package policy.
 func (e *endpoint) entry(state string) policy.Endpoint {
 	return policy.Endpoint{
 		ID:          e.ID,
@@ -92,8 +92,8 @@
 	return entries
 }
 
-// ChangeEndpoint changes the entry of an endpoint in the list. Each relay learns of it after the delay of discovery,
-// and of all changes in their order.
+// ChangeEndpoint changes the entry of an endpoint in the list. Each relay receives the change after its own discovery
+// delay, and receives all changes in order.
 func (w *World) ChangeEndpoint(id, state string) {
 	e := w.endpoints[id]
 	w.recordEndpointChange(e.Endpoint, state)
@@ -115,7 +115,7 @@
 	}
 }
 
-// drawListDelay draws the delay of a list update to a relay.
+// drawListDelay draws the delay of a list update to a relay. Options.ListDelay replaces the drawn delay.
 func (w *World) drawListDelay(r *relay) time.Duration {
 	discovery := &w.plan.File.Discovery
 	spread := float64(discovery.MaxDelay - discovery.MinDelay)
@@ -135,7 +135,7 @@
 		State:       state,
 	}
 	if e.Service == e.ID {
-		change.Service = e.ID // it has limits of its own
+		change.Service = e.ID // the endpoint has limits of its own
 	}
 	w.record(change)
 }
--- a/internal/simulation/emulate/execute.go
+++ b/internal/simulation/emulate/execute.go
@@ -7,8 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// execute executes the actions of a step: it journals first what they decide, and then answers clients, notifies the
-// platform and makes calls.
+// execute executes the actions of a step. It first journals their effects, and then answers clients, notifies the
+// platform and starts calls.
 func (r *relay) execute(actions []policy.Action, accepted []*receivedSubmission) {
 	calls, ended := r.apply(actions, accepted)
 	for _, c := range calls {
@@ -30,7 +30,7 @@
 }
 
 // apply applies actions to the relay's state. It returns the calls to be made, and the messages that ended without
-// delivery, of which the platform must be notified.
+// delivery and for which the platform must be notified.
 func (r *relay) apply(actions []policy.Action, accepted []*receivedSubmission) (calls []*call, ended []*message) {
 	for _, a := range actions {
 		m := r.messages[a.MessageID]
@@ -54,8 +54,8 @@
 	return calls, ended
 }
 
-// decideFinal ends a message without delivery. A message that was accepted in this step has the final answer as its
-// answer; of any other one the platform must be notified, which it reports.
+// decideFinal ends a message without delivery, and reports whether the platform must be notified. For a message that
+// was accepted in this step, the final answer is the answer to its submission, and no notice is needed.
 func (r *relay) decideFinal(m *message, a policy.Action, accepted []*receivedSubmission) (notify bool) {
 	r.endMessage(m)
 	decision := &finalDecision{deferred: a.Kind == policy.Reject, retryAfter: a.Delay}
@@ -77,7 +77,7 @@
 	return false
 }
 
-// setTimer sets the engine's timer, of which the last setting holds.
+// setTimer sets the engine's only timer, in place of an earlier setting.
 func (r *relay) setTimer(a policy.Action) {
 	at := r.world.Now() + a.Delay
 	r.timerAt = at
@@ -89,7 +89,8 @@
 	})
 }
 
-// addToCall adds an attempt to the calls of a step. Attempts at one endpoint share calls as far as its kind allows.
+// addToCall adds an attempt to the calls of a step. Attempts at one endpoint share a call, up to the MaxBatch of its
+// destination kind.
 func (r *relay) addToCall(calls []*call, m *message, a policy.Action) []*call {
 	e := r.world.endpoints[a.Endpoint]
 	maxBatch := 1
@@ -111,7 +112,7 @@
 	c.attempts = append(c.attempts, &attempt{message: m, number: m.attemptCount, timeoutAt: timeoutAt})
 	m.attemptCount++
 	m.openAttempts++
-	// The call lasts as long as its longest attempt if duplicates are allowed, and else as its shortest one.
+	// The call lasts as long as its longest attempt if duplicates are allowed, otherwise as long as its shortest one.
 	if len(c.attempts) == 1 || (timeoutAt > c.timeoutAt) == *r.world.plan.File.Settings.DuplicatesAllowed {
 		c.timeoutAt = timeoutAt
 	}
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -13,30 +13,31 @@
 const (
 	// linkLatency is the one-way latency between relays.
 	linkLatency = 500 * time.Microsecond
-	// maxReorderDelay is by how long a reordering link delays datagrams.
+	// maxReorderDelay is the longest extra delay of a datagram on a reordering link.
 	maxReorderDelay = 30 * time.Millisecond
-	// maxClockDrift is by how much the clocks of two relays differ in speed, as a ratio.
+	// maxClockDrift bounds the difference in speed between the clocks of two relays, as a ratio.
 	maxClockDrift = 0.01
 )
 
-// fleetNetwork is the network between the relays, and what is true about the reports on it. It models the gossip of
-// package gossip: each relay sends news to a few others at a time, they forward what is news to them, and now and then
-// relays exchange digests. It leaves out membership, as each relay tries all members of its list, and the encoding.
+// fleetNetwork is the network between the relays, with checks of the reports that relays hold. It models gossip with
+// the parameters of package gossip: each relay sends updated reports to a few others at a time, a receiver forwards the
+// reports that updated its own table, and relays exchange digests at intervals. The model leaves out the encoding and
+// the membership protocol: each relay sends to any relay of the world.
 type fleetNetwork struct {
 	world          *World
 	random         *rand.Rand
-	linkFaults     map[string]scenario.Step // by the names of the links; none: healthy
-	clockDrift     []float64                // by relay, as a ratio
+	linkFaults     map[string]scenario.Step // the last step for each link, by link name; no entry: healthy
+	clockDrift     []float64                // how much faster than the world each relay's clock is, as a ratio
 	absurdRelay    int                      // see Options.AbsurdReporter, counted from 0; below 0: none
-	duplicateRelay int                      // see Options.NameDuplicate, likewise
-	mergedFleets   int                      // see Options.MergedFleets
+	duplicateRelay int                      // see Options.NameDuplicate, counted from 0; below 0: none
+	mergedFleets   int                      // see Options.MergedFleets; 1 at least
 
 	datagramCount int
-	byteCount     int // the approximate size of all datagrams
+	byteCount     int // approximate size of the reports and quota messages of all datagrams
 	fleetChecks
 }
 
-// newFleetNetwork returns the network between the relays; nil if the plan has none.
+// newFleetNetwork returns the network between the relays, or nil if the plan does not enable a fleet.
 func newFleetNetwork(w *World) *fleetNetwork {
 	if !w.plan.File.Fleet.Enabled {
 		return nil
@@ -60,7 +61,7 @@
 // sameFleet reports whether two relays belong to one fleet.
 func (n *fleetNetwork) sameFleet(a, b int) bool { return a%n.mergedFleets == b%n.mergedFleets }
 
-// applyLinkStep carries out a step of the plan about a link. Without a network there are no links.
+// applyLinkStep applies a step of the plan to a link. It does nothing if the relays are not linked.
 func (n *fleetNetwork) applyLinkStep(s scenario.Step) {
 	if n == nil {
 		return
@@ -88,8 +89,8 @@
 	return n.linkFaults[scenario.LinkName(from.name, to.name)].Op != scenario.OpLinkCut
 }
 
-// drawDelays draws after which delays a datagram arrives: usually there is one, none if it is lost, and two if the link
-// duplicates it.
+// drawDelays draws a delay for each copy of a datagram that arrives. There is usually one copy, none if the datagram is
+// lost, and two if the link duplicates it.
 func (n *fleetNetwork) drawDelays(from, to *relay) []time.Duration {
 	switch fault := n.linkFaults[scenario.LinkName(from.name, to.name)]; fault.Op {
 	case scenario.OpLinkCut:
@@ -109,7 +110,8 @@
 	return []time.Duration{linkLatency}
 }
 
-// drawReordered draws the delays on a link that duplicates a ratio of the datagrams, and delays the same ratio.
+// drawReordered draws the delays on a link that duplicates a ratio of the datagrams, and independently delays the same
+// ratio of them by maxReorderDelay.
 func (n *fleetNetwork) drawReordered(ratio float64) []time.Duration {
 	delays := []time.Duration{linkLatency}
 	if n.random.Float64() < ratio {
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// fleetLinks loads the scenario of links between relays.
+// fleetLinks loads the scenario with faults of the links between relays.
 func fleetLinks(t *testing.T) scenario.File {
 	t.Helper()
 	file, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
@@ -20,8 +20,8 @@
 	return file
 }
 
-// TestFleetMutants: correct relays know nothing false of each other, whatever the links do and whatever one relay
-// publishes; each fault of the links leads to the violation that it must.
+// TestFleetMutants: correct relays hold no false report of each other, whatever fails on the links and whatever one
+// relay publishes. Each of the LinkFaults leads to the expected kind of violation.
 func TestFleetMutants(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -57,44 +57,49 @@
 	}
 }
 
-// checkViolations checks that the violation was found, by the world and by the checker, or none.
+// checkViolations checks that the world found the wanted violation and the checker rejects the record. If want is "",
+// it checks that the world found no violation.
 func checkViolations(t *testing.T, w *World, seed uint64, want violation) {
 	t.Helper()
 	found := w.fleet.violations
 	if want == "" {
 		if len(found) > 0 {
-			t.Errorf("seed %d: found %v, want none", seed, slices.Compact(found))
+			t.Errorf("seed %d: found violations %v, want none", seed, slices.Compact(found))
 		}
 		return
 	}
 	if !slices.Contains(found, want) {
-		t.Errorf("seed %d: found %v, want %q", seed, slices.Compact(found), want)
+		t.Errorf("seed %d: found violations %v, want %q", seed, slices.Compact(found), want)
 	}
 	if checker.Check(w.Result()).State() != checker.Violated {
-		t.Errorf("seed %d: no violation found", seed)
+		t.Errorf("seed %d: the checker found no violation in the record", seed)
 	}
 }
 
-// checkPeerViews checks that the checker accepts the record, and that the scenario tests what relays know.
+// checkPeerViews checks that the checker accepts the record, and that the scenario exercises the checks of the relays'
+// views of each other.
 func checkPeerViews(t *testing.T, w *World, seed uint64) {
 	t.Helper()
 	result := checker.Check(w.Result())
 	if result.State() != checker.Held || result.PeerViews.Disconnected == 0 || result.PeerViews.Stale.Exercised == 0 {
-		t.Errorf("seed %d: %s, %+v", seed, result.State(), result.PeerViews)
+		t.Errorf("seed %d: checker result %s, peer views %+v", seed, result.State(), result.PeerViews)
 	}
 }
 
-// checkDuplicateName checks that of two processes under a name the others hear the first one.
+// checkDuplicateName checks that, of two processes under the same name, another relay holds a recent report of the
+// first one.
 func checkDuplicateName(t *testing.T, w *World, seed uint64) {
 	t.Helper()
 	first, other := w.relays[0].member, w.relays[1].member
 	held, ok := other.reports.Get(other.clock(), first.name, 0)
 	if want := first.reports.Incarnation(); !ok || held.Boot != want.Boot || held.Age > 10*time.Second {
-		t.Errorf("seed %d: %v is known as %+v", seed, want, held)
+		t.Errorf("seed %d: another relay holds report %+v, want one of incarnation %v, at most 10 s old",
+			seed, held, want)
 	}
 }
 
-// TestFleetRunsAreReproducible: the same plan gives the same record with a fleet, and without one there is none.
+// TestFleetRunsAreReproducible: with a fleet, a plan that is played twice gives the same service figures and the same
+// numbers of datagrams and events. With the fleet disabled there is no fleet network.
 func TestFleetRunsAreReproducible(t *testing.T) {
 	file := fleetLinks(t)
 	file.Faults = slices.DeleteFunc(file.Faults, func(f scenario.Fault) bool { return f.Kind != scenario.FaultLinkCut })
@@ -115,9 +120,9 @@
 		first.fleet.datagramCount != again.fleet.datagramCount ||
 		len(first.events) != len(again.events) ||
 		first.fleet.datagramCount == 0 {
-		t.Error("a plan played twice differs")
+		t.Error("a plan that was played twice gave different runs, or no datagrams")
 	}
 	if service, w := playOnce(false); w.fleet != nil || service == "" {
-		t.Error("off, there is a fleet")
+		t.Error("with the fleet disabled, there is a fleet network or no service figures")
 	}
 }
--- a/internal/simulation/emulate/fleetcheck.go
+++ b/internal/simulation/emulate/fleetcheck.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// checkInterval is how often what relays know of each other is checked.
+	// checkInterval is how often the reports and quotas that relays hold are checked.
 	checkInterval = 500 * time.Millisecond
-	// maxCheckedRelays is how many relays are checked.
+	// maxCheckedRelays bounds the relays whose report tables are checked.
 	maxCheckedRelays = 20
-	// ageTolerance is by how much a report may seem younger than it is, besides the drift of the clocks.
+	// ageTolerance is by how much a report's age may be below its true age, in addition to clock drift.
 	ageTolerance = 400 * time.Millisecond
-	// versionRetention is how long the time of a publication is kept.
+	// versionRetention is how long the publication time of a report version is kept.
 	versionRetention = 2 * loadreport.MaxAge
-	// quotaTolerance is by what ratio sums of quotas may exceed a limit, for rounding.
+	// quotaTolerance is the ratio by which a sum of quotas may exceed a limit because of rounding.
 	quotaTolerance = 1e-6
 )
 
-// violation is a kind of false knowledge that a relay may have of others.
+// violation is a kind of false report or quota that relays must not hold.
 type violation string
 
-// The violations.
+// The kinds of violation.
 const (
-	reportOfStranger  violation = "stranger" // a report of another fleet's member
+	reportOfStranger  violation = "stranger" // a report by a member of another fleet
 	impossibleFigure  violation = "bound"    // a report with a rate that no relay can have
-	reportTooYoung    violation = "age"      // a report that is older than it seems
+	reportTooYoung    violation = "age"      // a report whose age is below its true age
 	versionRolledBack violation = "back"     // a report that was replaced by an older version
 	quotaExceeded     violation = "sum"      // quotas whose sum exceeds a limit
 )
 
-// fleetChecks check what relays know of each other against what is true.
+// fleetChecks holds the state of the checks of the reports and quotas that relays hold against their true values.
 type fleetChecks struct {
 	publishedAt     map[reportVersion]time.Duration
 	reportNumber    map[reportVersion]int
-	onUpdate        func(by *relay, version reportVersion) // called when a relay takes a new version; nil: nothing is
-	violations      []violation
-	recordedKinds   map[violation]bool
+	onUpdate        func(by *relay, version reportVersion) // called when a relay takes a new version; may be nil
+	violations      []violation                            // every violation found, in order
+	recordedKinds   map[violation]bool                     // kinds that are already in the record
 	quotaCheckCount int
 }
 
@@ -53,21 +53,22 @@
 	}
 }
 
-// published notes the publication of a report.
+// published stores the time of a report's publication.
 func (n *fleetNetwork) published(report *loadreport.Report) {
 	version := versionOf(report)
 	n.publishedAt[version] = n.world.Now()
 	n.reportNumber[version] = report.Number
 }
 
-// updated notes that a relay took a new version of a report.
+// updated calls onUpdate for a relay whose table took a new version of a report.
 func (n *fleetNetwork) updated(by *relay, version reportVersion) {
 	if n.onUpdate != nil {
 		n.onUpdate(by, version)
 	}
 }
 
-// checkAll checks what relays know, and records how old their knowledge of each other is.
+// checkAll checks the report tables and quotas of the relays, records the age of the newest report that they hold of
+// each other, and schedules the next check.
 func (n *fleetNetwork) checkAll() {
 	now := n.world.Now()
 	if now < n.world.length {
@@ -88,7 +89,7 @@
 	})
 }
 
-// checkMember checks the reports of a member's table.
+// checkMember checks the reports in a member's table, and records the member's view of each other relay.
 func (n *fleetNetwork) checkMember(m *fleetMember) {
 	limits := m.agent.Limits()
 	newestAge, generation := map[string]time.Duration{}, map[string]uint64{}
@@ -121,8 +122,8 @@
 	}
 }
 
-// checkReport checks a report of a member's table: it is of the member's fleet, no figure exceeds the limits, it is not
-// younger than it can be, and it does not go back to an earlier version.
+// checkReport checks a report in a member's table: it belongs to the member's fleet, its call rates are possible under
+// the limits, its age is not below its true age, and it does not replace a later version.
 func (n *fleetNetwork) checkReport(m *fleetMember, limits loadreport.Limits, report *loadreport.Report) {
 	holder := m.relay.name
 	if !n.sameFleet(n.world.relay(report.Name).index, m.relay.index) {
@@ -148,7 +149,7 @@
 	m.lastChecked[key] = version
 }
 
-// checkAge checks the age of a report against the time of its publication.
+// checkAge checks that the age of a report is not below the time since its publication.
 func (n *fleetNetwork) checkAge(holder string, version reportVersion, report *loadreport.Report) {
 	publishedAt, ok := n.publishedAt[version]
 	if !ok {
@@ -170,8 +171,8 @@
 	return v.Compare(other.Incarnation) < 0
 }
 
-// checkQuotas checks that what all relays may use of a limit at this moment, by themselves and by granting it to
-// others, does not exceed it.
+// checkQuotas checks for each limit that the sum of all relays' quotas at this moment does not exceed the limit. A
+// relay's quota is the rate that it may use itself and the rate that it may grant to others.
 func (n *fleetNetwork) checkQuotas() {
 	if !n.world.plan.File.Fleet.Quotas {
 		return
@@ -199,7 +200,7 @@
 	}
 }
 
-// addViolation notes a violation. The record has the first one of each kind.
+// addViolation counts a violation. Only the first one of each kind is added to the record.
 func (n *fleetNetwork) addViolation(kind violation, format string, args ...any) {
 	n.violations = append(n.violations, kind)
 	if !n.recordedKinds[kind] {
--- a/internal/simulation/emulate/golden_test.go
+++ b/internal/simulation/emulate/golden_test.go
@@ -17,16 +17,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-var recordHashes = flag.Bool("record-same", false, "write the hashes of TestGoldenRecords anew")
+var recordHashes = flag.Bool("record-same", false, "rewrite the file of the hashes that TestGoldenRecords expects")
 
 const recordHashFile = "testdata/same.json"
 
-// TestGoldenRecords pins the records of small worlds by their hashes, which are written by
+// TestGoldenRecords compares the records of small worlds with stored hashes. This command rewrites the hashes:
 //
 //	go test ./internal/simulation/emulate -run TestGoldenRecords -record-same
 //
-// Those with the scripted engine hold whatever package policy decides. Those with policy's own may be written anew with
-// a change of its decisions, as long as the former are what they were: the test then says so.
+// The hashes with the scripted engine do not depend on the decisions of package policy. When these decisions change,
+// the hashes with policy's own engine may be rewritten, provided that those with the scripted engine are unchanged. A
+// failing test logs if they are.
 func TestGoldenRecords(t *testing.T) {
 	hashes := map[string]string{}
 	for _, w := range recordedWorlds(t) {
@@ -40,17 +41,17 @@
 	}
 	want := readHashes(t)
 	if len(want) != len(hashes) {
-		t.Errorf("%d worlds, %d hashes", len(hashes), len(want))
+		t.Errorf("%d worlds, but %s has %d hashes", len(hashes), recordHashFile, len(want))
 	}
 	scriptedChanged := false
 	for _, name := range slices.Sorted(maps.Keys(hashes)) {
 		if hashes[name] != want[name] {
-			t.Errorf("%s: record %s, was %s", name, hashes[name], want[name])
+			t.Errorf("%s: record hash %s, want %s", name, hashes[name], want[name])
 			scriptedChanged = scriptedChanged || strings.HasPrefix(name, "scripted ")
 		}
 	}
 	if t.Failed() && !scriptedChanged {
-		t.Log("relays with the scripted engine are as before: the decisions have changed, not the emulator")
+		t.Log("the hashes with the scripted engine are unchanged: policy's decisions have changed, not the emulator")
 	}
 }
 
@@ -78,15 +79,15 @@
 	return hashes
 }
 
-// recordedWorld is a small world whose record is pinned.
+// recordedWorld is a small world whose record is compared with a stored hash.
 type recordedWorld struct {
 	name    string
 	plan    scenario.Plan
 	options Options
-	prepare func(w *World) // nil: nothing
+	prepare func(w *World) // called before the world is played; may be nil
 }
 
-// recordHash plays the world, and returns a hash of its record and of some of its figures.
+// recordHash plays the world, and returns a hash of its record and of some of its metrics.
 func (r recordedWorld) recordHash(t *testing.T) string {
 	t.Helper()
 	r.options.Record = true
@@ -114,8 +115,8 @@
 	return hex.EncodeToString(hash.Sum(nil)[:12])
 }
 
-// recordedWorlds are the shipped scenarios, cut short, and random plans on them: with other networks, mutants, new
-// endpoints, and processes and machines that crash.
+// recordedWorlds returns worlds with the shipped scenarios, cut short, and random variants of these: with other
+// networks, mutants, new endpoints, and crashes of processes and machines.
 func recordedWorlds(t *testing.T) (worlds []recordedWorld) {
 	t.Helper()
 	for _, name := range scenario.Shipped() {
@@ -130,7 +131,7 @@
 	return worlds
 }
 
-// cutShort cuts a scenario to 25 s.
+// cutShort shortens a scenario to 25 s at most.
 func cutShort(file scenario.File) scenario.File {
 	file = file.Clone()
 	file.Length = min(file.Length, scenario.Duration(25*time.Second))
@@ -142,7 +143,7 @@
 	return file
 }
 
-// randomWorld draws a world with random faults. The order of the draws is part of what is pinned.
+// randomWorld draws a world with random faults. The stored hashes depend on the order of the draws.
 func randomWorld(t *testing.T, seed uint64) recordedWorld {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 77))
@@ -164,7 +165,8 @@
 	return w
 }
 
-// drawFault draws a fault, unless it could strike an endpoint that an earlier fault is still to add.
+// drawFault draws a fault. It returns false instead of a fault that could change the list entry of an endpoint which an
+// earlier fault has yet to add.
 func drawFault(rng *rand.Rand, file *scenario.File) (scenario.Fault, bool) {
 	kinds := []scenario.FaultKind{
 		scenario.FaultDrain,
@@ -207,7 +209,8 @@
 	return fault, true
 }
 
-// drawOptions draws the network, a mutant, and a crash of a machine.
+// drawOptions draws the network options. With a probability of 1/3 each, it also draws a mutant, and a machine crash
+// that is followed by a new endpoint.
 func (r *recordedWorld) drawOptions(rng *rand.Rand) {
 	r.options.ZoneLatency = time.Duration(rng.IntN(3)) * time.Millisecond
 	r.options.IdleResetRatio = []float64{0, 0.01}[rng.IntN(2)]
--- a/internal/simulation/emulate/gossip.go
+++ b/internal/simulation/emulate/gossip.go
@@ -7,14 +7,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// gossipQueue holds the reports that are to be sent, by how often each is still to be sent.
+// gossipQueue holds the reports to be sent to other relays, with the number of sends left for each.
 type gossipQueue struct {
-	remaining map[reportKey]int
-	// levels holds the reports by their remaining sends. An entry is valid only if remaining agrees.
+	remaining map[reportKey]int // sends left; negated while take is running, for reports that it has taken
+	// levels holds the reports by their remaining sends. An entry is valid only if remaining has the same number.
 	levels [][]reportKey
 }
 
-// put has a report sent so many times from now on.
+// put sets how many times a report is to be sent from now on.
 func (q *gossipQueue) put(key reportKey, times int) {
 	if q.remaining == nil {
 		q.remaining = map[reportKey]int{}
@@ -28,7 +28,8 @@
 	}
 }
 
-// take takes up to maxReports reports to send them once: those that were sent least, and of these the newest.
+// take returns up to maxReports reports to be sent once: those with the most sends left, and of these the ones queued
+// last.
 func (q *gossipQueue) take(maxReports int) (taken []reportKey) {
 	for times := len(q.levels) - 1; times > 0; times-- {
 		level := &q.levels[times]
@@ -37,7 +38,7 @@
 			key := (*level)[last]
 			*level = (*level)[:last]
 			if q.remaining[key] == times {
-				q.remaining[key] = -times // taken: a second entry of it is not valid
+				q.remaining[key] = -times // taken: invalidates a second entry of the same report
 				taken = append(taken, key)
 			}
 		}
@@ -52,12 +53,12 @@
 	return taken
 }
 
-// enqueue has a report sent to others.
+// enqueue queues a report for gossip to other relays.
 func (m *fleetMember) enqueue(key reportKey) {
 	m.queue.put(key, gossip.Retransmissions(len(m.network.world.relays)))
 }
 
-// gossip sends news to a few others.
+// gossip sends queued reports to a few random relays.
 func (m *fleetMember) gossip() {
 	relays := m.network.world.relays
 	for range min(gossip.FanOut(len(relays)), len(relays)-1) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// exchangeDigests exchanges digests with another relay: each sends what the other lacks.
+// exchangeDigests exchanges digests with a random relay. Each of the two sends the reports that the other lacks.
 func (m *fleetMember) exchangeDigests() {
 	relays := m.network.world.relays
 	to := relays[m.network.random.IntN(len(relays))]
@@ -89,7 +90,8 @@
 	other.sendReports(m.relay, other.missingFrom(ownDigest))
 }
 
-// missingFrom returns the reports that a member with a digest lacks.
+// missingFrom returns the reports that are missing from another member's digest. Own reports are left out while this
+// member's claim to its name is suspended.
 func (m *fleetMember) missingFrom(digest loadreport.Digest) (missing []loadreport.Report) {
 	for _, report := range m.reports.MissingFrom(m.clock(), digest) {
 		if report.Name == m.name && m.nameClaim.Suspended(m.clock()) {
@@ -102,7 +104,7 @@
 	return missing
 }
 
-// reportToSend returns a report of the table as the member sends it.
+// reportToSend returns a report of the table as the member sends it, with the effects of its link faults.
 func (m *fleetMember) reportToSend(key reportKey) (loadreport.Report, bool) {
 	report, ok := m.reports.Get(m.clock(), key.name, key.number)
 	if age, received := m.receivedAge[key]; received && m.relay.mutant.linkFaults().FrozenAges {
--- a/internal/simulation/emulate/helpers_test.go
+++ b/internal/simulation/emulate/helpers_test.go
@@ -48,12 +48,12 @@
 	return w
 }
 
-// checkRecord checks the record of a world, which must be valid.
+// checkRecord runs the checker on the record of a world, and fails the test if the run was invalid.
 func checkRecord(t testing.TB, w *World) checker.Result {
 	t.Helper()
 	result := checker.Check(w.Result())
 	if len(result.RunErrors) > 0 {
-		t.Errorf("faults: %+v", result.RunErrors)
+		t.Errorf("the record has run errors: %+v", result.RunErrors)
 	}
 	return result
 }
@@ -75,8 +75,8 @@
 	return w, violatedRules(checkRecord(t, w))
 }
 
-// worldSpec is a world with one kind of destination and a class of messages with idempotency keys. The test submits
-// the messages itself.
+// worldSpec describes a world with one kind of destination and one class of messages with idempotency keys. The test
+// submits the messages itself.
 type worldSpec struct {
 	relays             int
 	seed               uint64
@@ -88,12 +88,12 @@
 	options            Options
 }
 
-// testWorld is a world in virtual time, with what was delivered in it.
+// testWorld is a world with the deliveries that were made in it.
 type testWorld struct {
 	*World
 	seed       uint64
 	deliveries []delivery
-	actions    []string // of the engines, if the test records them
+	actions    []string // actions of the engines, if the test records them
 }
 
 // delivery is the first delivery of a message.
@@ -103,7 +103,7 @@
 	deliveredAt time.Duration
 }
 
-// start starts the world.
+// start returns the world at time 0, with its relays running.
 func (s worldSpec) start(t testing.TB) *testWorld {
 	t.Helper()
 	const second = scenario.Duration(time.Second)
@@ -136,7 +136,7 @@
 		}},
 		DestinationKinds: []scenario.DestinationKind{kind},
 		Destinations:     []scenario.Destination{destination},
-		Traffic:          []scenario.Traffic{{Rate: 1}}, // for the validation
+		Traffic:          []scenario.Traffic{{Rate: 1}}, // required by the validation, and removed after it
 		Fleet:            s.fleet,
 	}
 	file.SetDefaults()
@@ -166,7 +166,7 @@
 	}
 }
 
-// deliveryRate returns how many messages a second were delivered in a span.
+// deliveryRate returns the messages delivered per second in a time span.
 func (w *testWorld) deliveryRate(from, to time.Duration) float64 {
 	n := 0
 	for _, d := range w.deliveries {
@@ -177,7 +177,8 @@
 	return float64(n) / (to - from).Seconds()
 }
 
-// submitRandomly submits messages for the first destination to the relays in turn.
+// submitRandomly submits messages for the first destination to the relays in turn, at random times with a mean rate per
+// second.
 func submitRandomly(w *testWorld, from, to time.Duration, rate float64) {
 	n := 0
 	w.ScheduleRandomly(from, to, rate, func() {
@@ -186,7 +187,7 @@
 	})
 }
 
-// atEachService changes each service at a time.
+// atEachService schedules a change of each service at a time.
 func atEachService(w *testWorld, at time.Duration, change func(*Service)) {
 	w.Schedule(at, func() {
 		for _, s := range w.serviceOrder {
--- a/internal/simulation/emulate/journal.go
+++ b/internal/simulation/emulate/journal.go
@@ -5,13 +5,13 @@
 // syncInterval is how often a journal with SyncInterval is synced.
 const syncInterval = time.Second
 
-// journal is the journal of a relay. What it holds is the relay's state itself, which survives the process; the journal
-// only keeps how to undo what a crash may lose.
+// journal models the journal of a relay. It holds no copy of the relay's state, since the state itself survives the
+// simulated process. The journal only holds functions that undo the writes which a crash may lose.
 type journal struct {
 	world    *World
-	undoable bool          // a crash may lose something
-	delay    time.Duration // until a record is written, by a mutant
-	records  []undoRecord
+	undoable bool          // a crash may lose writes
+	delay    time.Duration // time until a write survives a crash of the process; above 0 only with a mutant
+	records  []undoRecord  // oldest first
 }
 
 type undoRecord struct {
@@ -28,8 +28,8 @@
 	}
 }
 
-// written notes that something is written now, and how to undo it. Callers check undoable first, which spares the
-// closure.
+// written records that something is written now, and how to undo the write. Callers check undoable first, to avoid
+// allocating the closure.
 func (j *journal) written(undo func()) {
 	now := j.world.Now()
 	expired := 0
@@ -39,7 +39,7 @@
 	j.records = append(j.records[expired:], undoRecord{at: now, undo: undo})
 }
 
-// retention is how long a record may still be undone.
+// retention returns for how long after a write a crash may still lose it.
 func (j *journal) retention() time.Duration {
 	if j.world.options.MachineCrashes && j.world.options.JournalSync == SyncNever {
 		return j.world.Now()
@@ -47,10 +47,10 @@
 	return max(j.delay, syncInterval)
 }
 
-// rollBack undoes what a crash of the process or of the machine loses, the latest first.
+// rollBack undoes the writes that a crash of the process or of the machine loses, the latest first.
 func (j *journal) rollBack(machine bool) {
 	now := j.world.Now()
-	durable := now - j.delay // what was written by then survives
+	durable := now - j.delay // writes up to this time survive
 	if machine {
 		switch j.world.options.JournalSync {
 		case SyncNever:
