--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -22,7 +22,7 @@
 	maxUnanswered = 1
 )
 
-// clientMessage is a message of a client, over all its submissions.
+// clientMessage is a message of a client, with the state that its submissions share.
 type clientMessage struct {
 	submittedAt time.Duration // time of the first submission
 	class       int
--- a/internal/simulation/emulate/endpoint.go
+++ b/internal/simulation/emulate/endpoint.go
@@ -14,7 +14,7 @@
 // endpoint is an endpoint of a service: its process, its connections and its entry in the endpoint list.
 type endpoint struct {
 	scenario.Endpoint
-	index   int // in the order in which endpoints were added
+	index   int // position in the order in which endpoints were added
 	zone    int // index of the scenario's Zones
 	kind    int // index of the scenario's DestinationKinds
 	service *Service
@@ -25,7 +25,7 @@
 
 	connectionEpoch int // incremented when all its connections are reset
 	calls           map[*call]struct{}
-	pools           map[*connectionPool]struct{} // of all relays; kept only if Options.MaxConnections is set
+	pools           map[*connectionPool]struct{} // those of all relays; kept only if Options.MaxConnections is set
 
 	changes []entryChange // changes of its entry in the endpoint list, oldest first
 }
--- a/internal/simulation/emulate/fleetcheck.go
+++ b/internal/simulation/emulate/fleetcheck.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// checkAll checks the report tables and quotas of the relays, records the age of the newest report that they hold of
-// each other, and schedules the next check.
+// checkAll checks the relays' report tables and quotas, records the age of the newest report that each relay holds of
+// each other relay, and schedules the next check.
 func (n *fleetNetwork) checkAll() {
 	now := n.world.Now()
 	if now < n.world.length {
--- a/internal/simulation/emulate/journal.go
+++ b/internal/simulation/emulate/journal.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// written records that something is written now, and how to undo the write. Callers check undoable first, to avoid
-// allocating the closure.
+// written records a write at the current time, and how to undo it. Callers check undoable first, to avoid allocating
+// the closure.
 func (j *journal) written(undo func()) {
 	now := j.world.Now()
 	expired := 0
