--- a/internal/capacity/bottleneck.go
+++ b/internal/capacity/bottleneck.go
@@ -7,36 +7,38 @@
 	"slices"
 )
 
-// Effect is what happens beyond a bottleneck. The gravest comes first.
+// Effect is what happens when a size exceeds the limit of a bottleneck. The constants are ordered from the most severe
+// to the least severe.
 type Effect int
 
 // The effects.
 const (
-	Stops       Effect = iota // the relay does not serve
-	DropsExcess               // a mechanism leaves out what exceeds its bound
-	OverBudget                // the relay serves and uses more than its budget
+	Stops       Effect = iota // the relay does not start or never becomes ready
+	DropsExcess               // a mechanism ignores the items above its limit
+	OverBudget                // the relay serves messages but uses more than its budget
 )
 
-// String returns the effect in the words of the page.
+// String returns the effect as the capacity page prints it.
 func (e Effect) String() string {
 	return [...]string{"stops", "leaves out the rest", "over budget"}[e]
 }
 
-// Bottleneck is a size on one axis beyond which a mechanism no longer copes.
+// Bottleneck describes the size on one axis above which a mechanism fails or exceeds its budget.
 type Bottleneck struct {
-	Axis        string
-	Target      float64
-	Limit       float64 // NaN: unknown; +Inf: none was found
+	Axis        string  // what the sizes count, for example relays
+	Target      float64 // size that the target requires
+	Limit       float64 // NaN: unknown; +Inf: no limit was found
 	Effect      Effect
 	Description string
-	Derivation  string
-	Mechanism   string // the packages that are concerned; empty: there are none
+	Derivation  string // the measurements behind the limit, or why it is unknown
+	Mechanism   string // the packages that implement it; empty: none do
 }
 
 // TargetFraction returns the limit as a fraction of the target.
 func (b Bottleneck) TargetFraction() float64 { return b.Limit / b.Target }
 
-// rank orders bottlenecks below the target by their effects, before those beyond it and the unknown ones.
+// rank returns the first sort key of a bottleneck. Limits below the target rank by the severity of their effect, before
+// those at or above the target. Unknown limits rank last.
 func (b Bottleneck) rank() int {
 	const beyondTarget, unknownLimit = int(OverBudget) + 1, int(OverBudget) + 2
 	switch fraction := b.TargetFraction(); {
@@ -48,8 +50,9 @@
 	return int(b.Effect)
 }
 
-// Bottlenecks returns the bottlenecks of a target in the order of their urgency: by effect, the gravest first, then by
-// the fraction of the target. Those beyond the target follow, and unknown ones come last.
+// Bottlenecks returns the bottlenecks of a target, the most urgent first. Limits below the target are sorted by effect,
+// the most severe first, and then by their fraction of the target. Limits at or above the target follow. Unknown limits
+// come last.
 func Bottlenecks(t Target, r Run) []Bottleneck {
 	e := estimator{t, r}
 	all := slices.Concat(
@@ -66,7 +69,8 @@
 	return all
 }
 
-// FirstBottleneck returns the most urgent of sorted bottlenecks. It is false if none is below its target.
+// FirstBottleneck returns the most urgent of the bottlenecks that Bottlenecks has sorted. It returns false if no limit
+// is below its target.
 func FirstBottleneck(sorted []Bottleneck) (Bottleneck, bool) {
 	for _, b := range sorted {
 		if b.TargetFraction() < 1 {
@@ -76,7 +80,8 @@
 	return Bottleneck{}, false
 }
 
-// atFailure sets the limit to the largest size of a series that passed.
+// atFailure returns b with its limit set to the largest size of a series that passed. If no size failed, the limit is
+// +Inf, or unknown if the largest measured size is below the target.
 func (e estimator) atFailure(b Bottleneck, name string) Bottleneck {
 	l := e.limit(name)
 	switch {
@@ -94,15 +99,16 @@
 	return b
 }
 
-// atCost sets the limit to the size at which the cost of a series reaches a budget.
+// atCost returns b with its limit set to the size at which the cost of a series reaches a budget.
 func (e estimator) atCost(b Bottleneck, name string, budget float64) Bottleneck {
 	return e.atRelayCost(b, name, budget, 1)
 }
 
-// atRelayCost is atCost for an axis that counts for so many relays together, while the series counts for one.
+// atRelayCost is atCost for a series of one relay and an axis that counts all relays together. It multiplies the size
+// by the number of relays.
 //
-// A nonlinear model that reaches the budget only where it must not be extrapolated to has no limit if that lies beyond
-// the target.
+// A nonlinear model may reach the budget only at a size to which it must not be extrapolated. In that case the limit is
+// +Inf if the model may be extrapolated to the target, and otherwise unknown.
 func (e estimator) atRelayCost(b Bottleneck, name string, budget, relays float64) Bottleneck {
 	b.Effect = OverBudget
 	size := e.sizeAt(name, budget)
@@ -175,7 +181,8 @@
 	}
 }
 
-// loadBottlenecks takes the number of relays as given.
+// loadBottlenecks returns the message rates of the whole fleet at which each relay uses all its cores. The number of
+// relays is that of the target.
 func (e estimator) loadBottlenecks() []Bottleneck {
 	bottleneck := func(description string) Bottleneck {
 		return Bottleneck{
--- a/internal/capacity/bottleneck_test.go
+++ b/internal/capacity/bottleneck_test.go
@@ -33,7 +33,7 @@
 		"they take 1 KB/s":                                      576_000,
 	} {
 		if got := limits[description]; !closeTo(got, want) {
-			t.Errorf("%s: at %g, want %g", description, got, want)
+			t.Errorf("%s: limit %g, want %g", description, got, want)
 		}
 	}
 	for i, want := range []string{
@@ -45,41 +45,41 @@
 		"backlog: a restart takes 10 s",
 	} {
 		if order[i] != want {
-			t.Errorf("place %d: %s, want %s", i, order[i], want)
+			t.Errorf("bottleneck %d: %s, want %s", i, order[i], want)
 		}
 	}
 	const want = "a relay that asks discovery never becomes ready"
 	if first, ok := FirstBottleneck(all); !ok || first.Description != want {
-		t.Errorf("first: %+v, want %s", first, want)
+		t.Errorf("first bottleneck: %+v, want %s", first, want)
 	}
 }
 
-// What stops comes first, however small the fraction of the target at which a budget is exceeded. Among equals the
-// smallest fraction does.
+// A bottleneck that stops the relay comes before an exceeded budget, even if the budget is exceeded at a smaller
+// fraction of the target. Bottlenecks with the same effect are sorted by their fraction of the target.
 func TestFirstBottleneck(t *testing.T) {
 	target, run := roundExample()
 	exceeded := Run{Series: []Series{linearSeries(FleetByteRate, ByteRate, 0, 1e6, 10, 30, 100)}}
 	if first, ok := FirstBottleneck(Bottlenecks(target, exceeded)); !ok || first.Effect != OverBudget {
-		t.Errorf("%+v", first)
+		t.Errorf("first bottleneck: %+v, want effect %q", first, OverBudget)
 	}
 	exceeded.Series = append(exceeded.Series,
 		newSeries(FleetMaxMembers, Count, Point{Size: 99, Value: 99}, Point{Size: 100, Failed: true}))
 	if first, _ := FirstBottleneck(Bottlenecks(target, exceeded)); first.Effect != Stops || first.Limit != 99 {
-		t.Errorf("%+v", first)
+		t.Errorf("first bottleneck: %+v, want effect %q at 99", first, Stops)
 	}
 	exceeded.Series = append(exceeded.Series,
 		newSeries(RelayDiscoveryTime, Seconds, Point{Size: 980, Value: 1}, Point{Size: 990, Failed: true}))
 	if first, _ := FirstBottleneck(Bottlenecks(target, exceeded)); first.Limit != 980 {
-		t.Errorf("%+v", first)
+		t.Errorf("first bottleneck: %+v, want a limit of 980", first)
 	}
 	run.Series = []Series{linearSeries(RelayStartupTime, Seconds, 0, 1e-6, 10, 100, 1000)}
 	if first, ok := FirstBottleneck(Bottlenecks(target, run)); ok {
-		t.Errorf("nothing is below the target, but %+v", first)
+		t.Errorf("first bottleneck: %+v, want none below its target", first)
 	}
 }
 
-// A nonlinear model that reaches its budget only where it must not be extrapolated to is no bottleneck below a nearer
-// target.
+// A nonlinear model may reach its budget only at a size to which it must not be extrapolated. There is no bottleneck if
+// the model may be extrapolated to the target. Otherwise the limit is unknown.
 func TestBottleneckBeyondExtrapolation(t *testing.T) {
 	target, _ := roundExample()
 	nonlinear := func(maxSize float64) Run {
@@ -92,7 +92,7 @@
 	for maxSize, want := range map[float64]float64{100: math.Inf(1), 99: math.NaN()} {
 		for _, b := range Bottlenecks(target, nonlinear(maxSize)) {
 			if b.Description == "a start takes 10 s" && !closeTo(b.Limit, want) {
-				t.Errorf("largest size %g: at %g, want %g (%s)", maxSize, b.Limit, want, b.Derivation)
+				t.Errorf("largest size %g: limit %g, want %g (%s)", maxSize, b.Limit, want, b.Derivation)
 			}
 		}
 	}
--- a/internal/capacity/controlplane.go
+++ b/internal/capacity/controlplane.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// controlPlaneRole is what a relay spends on the endpoint list and on the fleet.
+// controlPlaneRole returns what a relay spends on the endpoint list, on membership and on sharing load reports and
+// quotas.
 func (e estimator) controlPlaneRole() Role {
 	list, fleet := e.listUse(), e.fleetUse()
 	settings := unknown("a relay reads its own file at SIGHUP; nothing takes a change to all of them").
@@ -30,12 +31,12 @@
 
 // listUse is what the endpoint list costs a relay.
 type listUse struct {
-	memory                estimate
-	baseCores, knownCores float64  // without load: with no endpoint list, and with that of the target
-	idleCores             estimate // their difference
-	changeCores           estimate
-	deltaRate             estimate // bytes per second of changes
-	snapshot              estimate // bytes
+	memory                estimate // bytes, in addition to those of a relay without an endpoint list
+	baseCores, knownCores float64  // cores without load: without an endpoint list, and with the target's list
+	idleCores             estimate // knownCores less baseCores
+	changeCores           estimate // cores for endpoint changes
+	deltaRate             estimate // bytes per second of endpoint changes
+	snapshot              estimate // bytes of one endpoint snapshot
 	snapshotRate          estimate // bytes per second of snapshots after restarts
 }
 
@@ -137,7 +138,7 @@
 	}
 }
 
-// withControlPlaneBudget returns a figure with the control plane's budget for its unit.
+// withControlPlaneBudget returns f with the control plane's budget for its unit.
 func (e estimator) withControlPlaneBudget(f Figure) Figure {
 	budget := map[Unit]float64{
 		Cores:    e.ControlPlane.Cores,
@@ -147,8 +148,9 @@
 	return f.withBudget(budget, controlPlaneBudget)
 }
 
-// withMeasuredBudget returns a figure whose budget is the largest size of a series that passed. Its value is unknown if
-// no size failed and none was as large.
+// withMeasuredBudget returns f with the largest size of a series that passed as its budget. If no size failed, f gets
+// no budget, and its value becomes unknown if it exceeds the largest measured size. Without the series, the value is
+// unknown.
 func (e estimator) withMeasuredBudget(f Figure, name string) Figure {
 	l := e.limit(name)
 	switch {
@@ -167,8 +169,8 @@
 	return f
 }
 
-// total returns what the endpoint list and the fleet take of one budget together. An unknown part is left out: the sum
-// then counts only if it exceeds the budget without that part.
+// total returns the sum of what the endpoint list and the fleet use of one budget. An unknown part is left out of the
+// sum. The sum then becomes unknown, unless the known part alone exceeds the budget.
 func (e estimator) total(name string, unit Unit, list, fleet float64) Figure {
 	var sum float64
 	var known []string
--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -8,28 +8,28 @@
 	"slices"
 )
 
-// Data is everything that was measured: one run for each program. It is stored as docs/capacity.json.
+// Data holds all measurements, one run for each program. It is stored as docs/capacity.json.
 type Data struct {
 	Runs []Run `json:"runs"`
 }
 
-// Program names one of the programs that are compared.
+// Program identifies one of the two versions of the relay that the capacity page compares.
 type Program string
 
 // The programs.
 const (
-	Baseline Program = "before"   // the program for which the tables were first made
-	Current  Program = "in force" // the program as it is
+	Baseline Program = "before"   // the version for which the tables were first generated
+	Current  Program = "in force" // the current version
 )
 
-// Run is what was measured of one program.
+// Run holds the measurements of one program.
 type Run struct {
 	Program    Program  `json:"program"`
 	Date       string   `json:"date"`
 	Commit     string   `json:"commit"`
 	Machine    Machine  `json:"machine"`
 	Quick      bool     `json:"quick,omitempty"`   // only the smaller sizes were measured
-	ActiveOnly bool     `json:"at_rest,omitempty"` // the program's engine knows the active destinations only
+	ActiveOnly bool     `json:"at_rest,omitempty"` // the program's engine has state for active destinations only
 	Seconds    float64  `json:"seconds"`           // duration of the measurement
 	Series     []Series `json:"series"`
 }
@@ -41,27 +41,27 @@
 	Go       string `json:"go"`
 }
 
-// Series is a cost at several sizes.
+// Series is one cost, measured at several sizes.
 type Series struct {
 	Name   string  `json:"name"`
 	Axis   string  `json:"axis"` // what the sizes count
 	Unit   Unit    `json:"unit"` // of the cost
 	Points []Point `json:"points"`
-	// ExtrapolationReason says why a nonlinear model of this series may be extrapolated beyond maxExtrapolation. Empty:
-	// it may not.
+	// ExtrapolationReason states why a nonlinear model of this series may be extrapolated to more than maxExtrapolation
+	// times its largest size. Empty: that is not allowed.
 	ExtrapolationReason string `json:"why,omitempty"`
-	// Limitations says what the measurement left out.
+	// Limitations states what the measurement left out.
 	Limitations string `json:"hollow,omitempty"`
 }
 
-// Point is one measurement. A size at which the measured operation never completed has no value.
+// Point is one measurement. If the operation did not complete for the whole size, Failed is true and Value is unused.
 type Point struct {
 	Size   float64 `json:"n"`
 	Value  float64 `json:"value"`
 	Failed bool    `json:"stopped,omitempty"`
 }
 
-// Unit is the unit of a value.
+// Unit is the unit of a value, as stored in docs/capacity.json.
 type Unit string
 
 // The units.
@@ -75,11 +75,11 @@
 	CountPerDay Unit = "/day"
 )
 
-// Parse reads Data. It rejects unknown programs, two series of one name in a run, and sizes that decrease.
+// Parse decodes Data. It rejects unknown programs, two series with the same name in a run, and sizes that decrease.
 func Parse(data []byte) (Data, error) {
 	var d Data
 	if err := json.Unmarshal(data, &d); err != nil {
-		return Data{}, fmt.Errorf("capacity: %w", err)
+		return Data{}, fmt.Errorf("capacity: decode measurements: %w", err)
 	}
 	var errs []error
 	for _, r := range d.Runs {
@@ -91,31 +91,31 @@
 func (r Run) validate() error {
 	var errs []error
 	if r.Program != Baseline && r.Program != Current {
-		errs = append(errs, fmt.Errorf("capacity: a run of program %q", r.Program))
+		errs = append(errs, fmt.Errorf("capacity: unknown program %q, want %q or %q", r.Program, Baseline, Current))
 	}
 	seen := map[string]bool{}
 	for _, s := range r.Series {
 		if seen[s.Name] {
-			errs = append(errs, fmt.Errorf("capacity: %s: series %s twice", r.Program, s.Name))
+			errs = append(errs, fmt.Errorf("capacity: program %q: duplicate series %q", r.Program, s.Name))
 		}
 		seen[s.Name] = true
 		if !slices.IsSortedFunc(s.Points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) }) {
-			errs = append(errs, fmt.Errorf("capacity: %s: sizes of %s do not rise", r.Program, s.Name))
+			errs = append(errs, fmt.Errorf("capacity: program %q: sizes of series %q decrease", r.Program, s.Name))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Bytes returns the stored form of d.
+// Bytes encodes d in the form of docs/capacity.json.
 func (d Data) Bytes() ([]byte, error) {
 	data, err := json.MarshalIndent(d, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("capacity: %w", err)
+		return nil, fmt.Errorf("capacity: encode measurements: %w", err)
 	}
 	return append(data, '\n'), nil
 }
 
-// Add adds a run. Its series replace those of the same names in the program's earlier run; the others stay.
+// Add adds a run. It replaces the program's earlier run, but keeps those earlier series whose names r does not have.
 func (d *Data) Add(r Run) {
 	for i, earlier := range d.Runs {
 		if earlier.Program != r.Program {
@@ -159,8 +159,8 @@
 	return Series{}, false
 }
 
-// largestPassed returns the largest size that completed below the first one that failed, and that first one. It is
-// false if no size failed.
+// largestPassed returns the first size that failed and the largest size before it. passed is 0 if the smallest size
+// failed. ok is false if no size failed.
 func (s Series) largestPassed() (passed, failed float64, ok bool) {
 	for _, p := range s.Points {
 		if p.Failed {
--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -9,26 +9,26 @@
 
 var errNotMeasured = errors.New("not measured")
 
-// estimate is a value that was worked out from measurements.
+// estimate is a value that is derived from the measurements or the target.
 type estimate struct {
 	value      float64 // NaN: unknown
 	derivation string  // the measurements behind the value, or why it is unknown
 }
 
-// derived returns the estimate of a value that follows from the target.
+// derived returns an estimate with a formatted derivation.
 func derived(value float64, format string, args ...any) estimate {
 	return estimate{value, fmt.Sprintf(format, args...)}
 }
 
-// unknown returns the estimate of a value that cannot be worked out.
+// unknown returns an estimate without a value. The arguments format the reason.
 func unknown(format string, args ...any) estimate {
 	return derived(math.NaN(), format, args...)
 }
 
-// withValue returns the estimate of a value that follows from e.
+// withValue returns an estimate of another value, with the derivation of e.
 func (e estimate) withValue(value float64) estimate { return estimate{value, e.derivation} }
 
-// explained returns the estimate with more text after its derivation.
+// explained returns e with a formatted text appended to its derivation.
 func (e estimate) explained(format string, args ...any) estimate {
 	return estimate{e.value, e.derivation + fmt.Sprintf(format, args...)}
 }
@@ -38,7 +38,7 @@
 	return Figure{Name: name, Value: e.value, Unit: unit, Derivation: e.derivation, Mechanism: mechanism}
 }
 
-// estimator works out the values of a target from the measurements of one run.
+// estimator derives the values of a target from the measurements of one run.
 type estimator struct {
 	Target
 	run Run
@@ -101,7 +101,8 @@
 	return fmt.Sprintf(", %s times beyond the largest measured", formatSignificant(size/m.MaxSize))
 }
 
-// deltaBytes estimates the bytes on the wire of a change of one endpoint.
+// deltaBytes estimates the bytes on the wire of a change of one endpoint: the growth of the snapshot per destination,
+// divided by the endpoints of a destination.
 func (e estimator) deltaBytes() estimate {
 	_, m, err := e.model(SnapshotBytes)
 	if err != nil {
@@ -111,17 +112,17 @@
 	return estimate{endpoint, fmt.Sprintf("%s an endpoint by `%s`", Format(endpoint, Bytes), SnapshotBytes)}
 }
 
-// limit is the largest size that a series was found to allow.
+// limit holds the largest size of a series that passed.
 type limit struct {
 	series      string
-	measured    bool    // false: there is nothing else to say
-	largest     float64 // size that was measured
-	found       bool    // a size failed
-	passed      float64 // if found: the largest size below the failed one
+	measured    bool    // false: only the name of the series is set
+	largest     float64 // the largest size that was measured
+	found       bool    // whether a size failed
+	passed      float64 // if found: the largest size below firstFailed, or 0
 	firstFailed float64 // if found: the smallest size that failed
 }
 
-// limit returns what a series says of its largest size.
+// limit returns the limit of a series, with measured false if the run does not have the series.
 func (e estimator) limit(name string) limit {
 	s, ok := e.run.series(name)
 	if !ok {
@@ -132,7 +133,7 @@
 	return l
 }
 
-// derivation says which sizes passed and failed. It is meant for limits that were found.
+// derivation names the largest size that passed and the smallest that failed. It is valid only if found is true.
 func (l limit) derivation() string {
 	return fmt.Sprintf("`%s`: %s did, %s did not", l.series, formatInteger(l.passed), formatInteger(l.firstFailed))
 }
--- a/internal/capacity/figure.go
+++ b/internal/capacity/figure.go
@@ -5,32 +5,32 @@
 	"math"
 )
 
-// Verdict says whether the target's fleet can have what a figure asks.
+// Verdict states whether a figure is within its budget, or why that is not known.
 type Verdict int
 
 // The verdicts.
 const (
-	WithinBudget Verdict = iota // or there is no budget
+	WithinBudget Verdict = iota // or the figure has no budget
 	BudgetExceeded
 	NotMeasured
 	NoMechanism
 )
 
-// String returns the verdict in the words of the page.
+// String returns the verdict as the capacity page prints it.
 func (v Verdict) String() string {
 	return [...]string{"carried", "over", "not measured", "no mechanism yet"}[v]
 }
 
-// Figure is what the target asks of one part of the fleet.
+// Figure is a quantity that the target requires of one part of the fleet, with its budget.
 type Figure struct {
 	Name        string
 	Value       float64 // NaN: unknown
 	Unit        Unit
 	Derivation  string // the arithmetic and the measurements behind the value
 	Budget      float64
-	BudgetName  string // empty: there is no budget
-	Mechanism   string // the packages that provide it; empty: there are none
-	Consequence string // what happens beyond the budget, if more than a slower relay
+	BudgetName  string // empty: the figure has no budget
+	Mechanism   string // the packages that implement it; empty: none do
+	Consequence string // what happens beyond the budget; empty: the relay is only slower
 }
 
 // Verdict returns the verdict on the figure.
@@ -46,7 +46,7 @@
 	return WithinBudget
 }
 
-// VerdictText returns the verdict in words, with the factor by which a budget is exceeded.
+// VerdictText returns the verdict as text. For an exceeded budget it adds the factor and the consequence.
 func (f Figure) VerdictText() string {
 	verdict := f.Verdict()
 	if verdict != BudgetExceeded {
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -9,15 +9,16 @@
 
 const (
 	significantDigits = 3
-	// maxDecimals is the number of decimals beyond which a small number is written with an exponent.
+	// maxDecimals is the largest number of decimals. A number that needs more is written with an exponent.
 	maxDecimals = 6
-	// maxExactCount is the count from which on three digits are enough.
+	// maxExactCount is the count from which Format rounds to significantDigits.
 	maxExactCount = 1e6
-	// maxExactInteger is well below the integers that a float64 does not hold exactly.
+	// maxExactInteger is the largest integer written in full. A float64 holds integers exactly up to 2^53, about 9e15.
 	maxExactInteger = 1e15
 )
 
-// Format returns a value with its unit, in three significant digits.
+// Format returns a value with its unit, rounded to three significant digits. Integer counts below maxExactCount are not
+// rounded.
 func Format(value float64, unit Unit) string {
 	switch {
 	case math.IsNaN(value):
@@ -65,7 +66,7 @@
 	return formatSignificant(value*1e6) + " us"
 }
 
-// formatSignificant returns a number in three significant digits, with commas between thousands.
+// formatSignificant returns a number rounded to three significant digits, with commas between thousands.
 func formatSignificant(value float64) string {
 	if value == 0 {
 		return "0"
@@ -85,7 +86,8 @@
 	return groupThousands(text)
 }
 
-// formatInteger returns an integer in all its digits, with commas between thousands.
+// formatInteger returns an integer in full, with commas between thousands. Other numbers, and integers above
+// maxExactInteger, are rounded to three significant digits.
 func formatInteger(value float64) string {
 	if value != math.Trunc(value) || math.Abs(value) > maxExactInteger {
 		return formatSignificant(value)
@@ -93,7 +95,7 @@
 	return groupThousands(fmt.Sprintf("%.0f", value))
 }
 
-// groupThousands puts commas between the thousands of a decimal number.
+// groupThousands separates the thousands of a decimal number with commas.
 func groupThousands(number string) string {
 	sign := ""
 	if strings.HasPrefix(number, "-") {
--- a/internal/capacity/format_test.go
+++ b/internal/capacity/format_test.go
@@ -30,7 +30,7 @@
 		{-1500.5, Count, "-1,500"},
 	} {
 		if got := Format(c.value, c.unit); got != c.want {
-			t.Errorf("%g %s: %q, want %q", c.value, c.unit, got, c.want)
+			t.Errorf("Format(%g, %q): %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
--- a/internal/capacity/golden_test.go
+++ b/internal/capacity/golden_test.go
@@ -10,12 +10,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // dataFile holds the measurements that the capacity page is generated from.
 const dataFile = "../../docs/capacity.json"
 
-// The figures that stand beside the page are read, and written again byte by byte.
+// docs/capacity.json can be decoded, and encoding the result gives the same bytes.
 func TestGoldenMeasuredData(t *testing.T) {
 	file, err := os.ReadFile(dataFile)
 	if err != nil {
@@ -27,14 +27,15 @@
 	}
 	latest, ok := data.Latest()
 	if !ok || len(latest.Series) == 0 || latest.Series[0].Name == "" || len(latest.Series[0].Points) == 0 {
-		t.Fatalf("nothing is read: %+v", latest)
+		t.Fatalf("the latest run lacks series or points: %+v", latest)
 	}
 	if again, err := data.Bytes(); err != nil || !bytes.Equal(again, file) {
-		t.Errorf("written again it differs: %v", err)
+		t.Errorf("the encoded data differs from the file: %v", err)
 	}
 }
 
-// Every field, set and not set, has the name that it had.
+// The JSON names of all fields stay the same, so that stored measurements remain readable. The golden file has each
+// field set and not set.
 func TestGoldenData(t *testing.T) {
 	const name = "data.json"
 	full := golden.Fill(&Run{})
@@ -47,6 +48,6 @@
 	golden.Check(t, *update, name, data)
 	got, err := Parse(golden.Read(t, name))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+		t.Errorf("the golden file is decoded as %+v, %v; want %+v", got, err, want)
 	}
 }
--- a/internal/capacity/helper_test.go
+++ b/internal/capacity/helper_test.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// closeTo reports whether two values are equal but for rounding. NaN is close to NaN.
+// closeTo reports whether two values are equal except for rounding. Two NaN count as equal.
 func closeTo(a, b float64) bool {
 	return a == b || math.Abs(a-b) <= 1e-6*max(math.Abs(a), math.Abs(b)) || math.IsNaN(a) && math.IsNaN(b)
 }
@@ -11,7 +11,7 @@
 	return Series{Name: name, Axis: "things", Unit: unit, Points: points}
 }
 
-// linearSeries returns a series whose points are on a line.
+// linearSeries returns a series whose points lie on a line.
 func linearSeries(name string, unit Unit, intercept, slope float64, sizes ...float64) Series {
 	var points []Point
 	for _, size := range sizes {
@@ -20,7 +20,8 @@
 	return newSeries(name, unit, points...)
 }
 
-// roundExample returns a target of round numbers, and a run with lines of round numbers.
+// roundExample returns a target and a run with linear series and series with failed sizes. Their numbers are round, so
+// that the expected results can be calculated by hand.
 func roundExample() (Target, Run) {
 	target := Target{
 		Relays:               100,
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxLinearResidual is the residual above which a model is nonlinear.
+	// maxLinearResidual is the largest residual with which a model counts as linear.
 	maxLinearResidual = 0.15
-	// maxExtrapolation is how far beyond its largest size a nonlinear model is extrapolated, as a factor.
+	// maxExtrapolation limits the extrapolation of nonlinear models, as a multiple of the largest measured size.
 	maxExtrapolation = 10
-	// minSizes is the number of sizes that a model needs.
+	// minSizes is the minimum number of sizes that a model is fitted to.
 	minSizes = 3
 )
 
@@ -24,20 +24,21 @@
 	errNonlinear   = errors.New("bends")
 )
 
-// Model describes how the cost of a series grows with the size: a line, and for nonlinear series a power law beside it.
+// Model describes how the cost of a series grows with the size: by a line and, if the line fits badly, by a power law.
 type Model struct {
 	Intercept, Slope float64
 	Residual         float64 // the largest deviation of a point from the line, as a fraction of the point
-	MinSize, MaxSize float64 // that were measured
-	Points           []Point // those that did not fail
-	// ExtrapolationReason is that of the series.
+	MinSize, MaxSize float64 // of Points
+	Points           []Point // measurements that did not fail
+	// ExtrapolationReason is copied from the series.
 	ExtrapolationReason string
-	// Coefficient and Exponent are the power law through the last minSizes points. Both 0: there is none.
+	// Coefficient and Exponent define the power law Coefficient * size^Exponent, fitted to the last minSizes points.
+	// Both are 0 if there is no power law.
 	Coefficient, Exponent float64
 }
 
-// Fit fits a model to a series. Points are weighted for relative deviation, so that the small sizes count as much as
-// the large ones. A cost that decreases with the size is taken as constant, at its mean.
+// Fit fits a model to the points of a series that did not fail. It minimizes the relative deviations, so that small
+// sizes count as much as large ones. A cost that decreases with the size is modeled as constant, at its weighted mean.
 func Fit(s Series) (Model, error) {
 	m := Model{ExtrapolationReason: s.ExtrapolationReason}
 	var sizes, values, weights []float64
@@ -69,7 +70,7 @@
 	return m, nil
 }
 
-// fitPowerLaw fits a line to the logarithms. Without positive sizes and values there is no power law.
+// fitPowerLaw fits a line to the logarithms of sizes and values. If one of them is not positive, there is no power law.
 func (m *Model) fitPowerLaw(sizes, values []float64) {
 	var logSizes, logValues []float64
 	for i, size := range sizes {
@@ -82,12 +83,12 @@
 	m.Coefficient, m.Exponent = math.Exp(intercept), slope
 }
 
-// Nonlinear reports whether the points deviate too far from the line.
+// Nonlinear reports whether a point deviates from the line by more than maxLinearResidual.
 func (m Model) Nonlinear() bool { return m.Residual > maxLinearResidual }
 
 func (m Model) linear(size float64) float64 { return m.Intercept + m.Slope*size }
 
-// pessimistic is the larger cost of the line and the power law.
+// pessimistic returns the larger of the costs that the line and the power law give.
 func (m Model) pessimistic(size float64) float64 {
 	return max(m.linear(size), m.Coefficient*math.Pow(size, m.Exponent))
 }
@@ -98,12 +99,13 @@
 }
 
 func (m Model) extrapolationError(size float64) error {
-	return fmt.Errorf("%w by %.0f %% and is not drawn out from %s to %s",
+	return fmt.Errorf("%w by %.0f %% and is not extrapolated from %s to %s",
 		errNonlinear, 100*m.Residual, Format(m.MaxSize, Count), Format(size, Count))
 }
 
-// Cost returns the cost at a size. Linear models follow the line. Nonlinear ones interpolate between the points, and
-// take the larger of line and power law beyond them, up to maxExtrapolation unless the series has a reason to go on.
+// Cost returns the cost at a size. A linear model follows the line. A nonlinear one interpolates between its points,
+// follows the line below them, and takes the larger of line and power law above them. A size of more than
+// maxExtrapolation times the largest is an error unless the series has an ExtrapolationReason.
 func (m Model) Cost(size float64) (float64, error) {
 	switch {
 	case !m.Nonlinear():
@@ -125,12 +127,13 @@
 	}
 	var between interp.PiecewiseLinear
 	if err := between.Fit(sizes, values); err != nil {
-		return 0, fmt.Errorf("capacity: %w", err)
+		return 0, fmt.Errorf("capacity: interpolate between the points: %w", err)
 	}
 	return between.Predict(size), nil
 }
 
-// SizeAt returns the size at which the cost reaches a value: +Inf if no size does, 0 if every size does.
+// SizeAt returns the size at which the cost reaches a value: +Inf if no size does, 0 if every size does. It is an error
+// if the model must not be extrapolated to that size.
 func (m Model) SizeAt(cost float64) (float64, error) {
 	if m.Nonlinear() {
 		if size, ok := m.measuredSizeAt(cost); ok {
@@ -157,8 +160,8 @@
 	return size, nil
 }
 
-// measuredSizeAt interpolates the first size that reaches a cost between two points. It is false if the smallest size
-// has already reached it, or none has.
+// measuredSizeAt interpolates between two points and returns the smallest size whose cost reaches a value. It returns
+// false if the cost of the first point already reaches the value, or if no point does.
 func (m Model) measuredSizeAt(cost float64) (float64, bool) {
 	i := slices.IndexFunc(m.Points, func(p Point) bool { return p.Value >= cost })
 	if i <= 0 {
--- a/internal/capacity/model_test.go
+++ b/internal/capacity/model_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"a line", line, 3, 2},
 		{"decreasing costs are constant", decreasing, (8.0/64 + 8.0/64 + 7.0/49) / (1.0/64 + 1.0/64 + 1.0/49), 0},
-		{"failed sizes count for nothing", append(line, Point{Size: 8, Failed: true}), 3, 2},
+		{"failed sizes are ignored", append(line, Point{Size: 8, Failed: true}), 3, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, err := Fit(newSeries("x", Seconds, c.points...))
@@ -26,10 +26,10 @@
 			}
 			if !closeTo(m.Slope, c.slope) && math.Abs(m.Slope-c.slope) > 1e-9 ||
 				math.Abs(m.Intercept-c.intercept) > 1e-6 {
-				t.Errorf("%g + %g n, want %g + %g n", m.Intercept, m.Slope, c.intercept, c.slope)
+				t.Errorf("the line is %g + %g n, want %g + %g n", m.Intercept, m.Slope, c.intercept, c.slope)
 			}
 			if m.Nonlinear() {
-				t.Errorf("nonlinear by %g", m.Residual)
+				t.Errorf("the model is nonlinear: residual %g", m.Residual)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if !m.Nonlinear() {
-		t.Errorf("linear by %g", m.Residual)
+		t.Errorf("the model is linear: residual %g", m.Residual)
 	}
 }
 
@@ -50,11 +50,12 @@
 	s := newSeries("x", Seconds,
 		Point{Size: 1, Value: 1}, Point{Size: 2, Value: 2}, Point{Size: 3, Failed: true})
 	if _, err := Fit(s); err == nil {
-		t.Error("two sizes make a model")
+		t.Error("a model was fitted to two sizes")
 	}
 }
 
-// The residual is the largest deviation as a fraction of its point. It decides whether a model is nonlinear.
+// The residual is the largest deviation of a point from the line, as a fraction of the point's value. It decides
+// whether a model is nonlinear.
 func TestResidual(t *testing.T) {
 	for _, c := range []struct {
 		deviation float64
@@ -72,13 +73,13 @@
 		}
 		if want := math.Abs(m.linear(2)-outlier) / outlier; !closeTo(m.Residual, want) ||
 			m.Nonlinear() != c.nonlinear {
-			t.Errorf("off by %g: residual %g, want %g; nonlinear: %v", c.deviation, m.Residual, want, m.Nonlinear())
+			t.Errorf("deviation %g: residual %g, want %g; nonlinear: %v", c.deviation, m.Residual, want, m.Nonlinear())
 		}
 	}
 }
 
-// A nonlinear model interpolates between its points, and is not extrapolated beyond ten times its largest size unless
-// the series has a reason.
+// A nonlinear model interpolates between its points. It is not extrapolated beyond ten times its largest size unless
+// the series has an ExtrapolationReason.
 func TestNonlinearModel(t *testing.T) {
 	s := newSeries("x", Seconds,
 		Point{Size: 1, Value: 1}, Point{Size: 10, Value: 100}, Point{Size: 100, Value: 10_000})
@@ -87,29 +88,29 @@
 		t.Fatal(m, err)
 	}
 	if cost, err := m.Cost(55); err != nil || !closeTo(cost, 5050) {
-		t.Errorf("between two points: %g, %v", cost, err)
+		t.Errorf("cost at 55, between two points: %g, %v; want 5050", cost, err)
 	}
 	if size, err := m.SizeAt(5050); err != nil || !closeTo(size, 55) {
-		t.Errorf("reached at %g, %v", size, err)
+		t.Errorf("cost 5050 is reached at %g, %v; want 55", size, err)
 	}
-	if cost, err := m.Cost(1000); err != nil || !closeTo(cost, 1e6) { // the square continues, far above the line
-		t.Errorf("ten times the largest size: %g, %v", cost, err)
+	if cost, err := m.Cost(1000); err != nil || !closeTo(cost, 1e6) { // the power law size^2, far above the line
+		t.Errorf("cost at ten times the largest size: %g, %v; want 1e6", cost, err)
 	}
 	if size, err := m.SizeAt(1e6); err != nil || !closeTo(size, 1000) {
-		t.Errorf("reached at %g, %v", size, err)
+		t.Errorf("cost 1e6 is reached at %g, %v; want 1000", size, err)
 	}
 	if cost, err := m.Cost(1001); err == nil {
-		t.Errorf("extrapolated to %g", cost)
+		t.Errorf("cost at 1001: %g, want an error", cost)
 	}
 	if size, err := m.SizeAt(1e9); err == nil {
-		t.Errorf("extrapolated to %g", size)
+		t.Errorf("cost 1e9 is reached at %g, want an error", size)
 	}
 	s.ExtrapolationReason = "a test"
 	if m, _ = Fit(s); m.ExtrapolationReason == "" {
-		t.Fatal("the model has lost the reason")
+		t.Fatal("the model lacks the ExtrapolationReason of the series")
 	}
 	if _, err := m.Cost(1e6); err != nil {
-		t.Error(err)
+		t.Errorf("cost at 1e6 with an ExtrapolationReason: %v", err)
 	}
 }
 
@@ -125,11 +126,11 @@
 		want := intercept + slope*size
 		cost, err := m.Cost(size)
 		if err != nil || math.Abs(cost-want) > 1e-3*want {
-			t.Fatalf("%g at %g, want %g: %v", cost, size, want, err)
+			t.Fatalf("cost %g at size %g, want %g: %v", cost, size, want, err)
 		}
 		again, err := m.SizeAt(cost)
 		if err != nil || math.Abs(again-size) > 1e-3*size+1e-6*intercept/slope {
-			t.Fatalf("back at %g from %g: %v", again, size, err)
+			t.Fatalf("SizeAt(Cost(size)) is %g for size %g: %v", again, size, err)
 		}
 	})
 }
--- a/internal/capacity/outage.go
+++ b/internal/capacity/outage.go
@@ -4,24 +4,24 @@
 
 const secondsPerHour = 3600
 
-// Outage is what the loss of a part of the fleet costs.
+// Outage describes the effects of losing a part of the fleet.
 type Outage struct {
 	Name                string
-	LostRelays          float64 // that do not serve, or are cut off
+	LostRelays          float64 // relays that do not serve or are cut off
 	MessageRate         float64 // of each remaining relay
-	Cores               float64 // of each remaining relay
-	UnreachableMessages float64 // until the machines are back
-	QueuedMessages      float64 // that each relay concerned has queued in addition, at the end
-	QueuedBytes         float64 // of these messages, on disk
+	Cores               float64 // used by each remaining relay
+	UnreachableMessages float64 // queued in the lost relays, undelivered until their machines are back
+	QueuedMessages      float64 // additional messages in each relay that is cut off, at the end of the outage
+	QueuedBytes         float64 // of QueuedMessages, on disk
 	SnapshotBytes       float64 // of the endpoint snapshots that are sent again
-	StartupTime         float64 // of a relay with its backlog
-	Guarantees          string  // what becomes of the guarantees to clients
+	StartupTime         float64 // seconds until a relay with its backlog is ready
+	Guarantees          string  // effect on the guarantees to clients
 }
 
 const journalOnOneDisk = "what they had taken on waits on their disks, past its time if they stay away; " +
 	"nothing is repeated; a disk that is lost loses it, as nothing else holds it"
 
-// Outages returns the outages that the target names.
+// Outages returns the outages that the target includes.
 func Outages(t Target, r Run) []Outage {
 	e := estimator{t, r}
 	machine := e.lostRelays(1)
@@ -34,7 +34,7 @@
 	return []Outage{machine, rack, zone, e.isolatedRegion(), e.dailyRestarts()}
 }
 
-// lostRelays is the outage of some relays, whose load the others take over.
+// lostRelays returns the outage in which some relays are lost and the others take over their load.
 func (e estimator) lostRelays(lost float64) Outage {
 	rate := e.RelayMessageRate() * e.Relays / (e.Relays - lost)
 	return Outage{
@@ -48,10 +48,10 @@
 	}
 }
 
-// isolatedRegion is a region that is cut off from the others for an hour.
+// isolatedRegion returns the outage in which a region is cut off from the others for an hour.
 func (e estimator) isolatedRegion() Outage {
 	rate := e.RelayMessageRate()
-	// Destinations are taken as spread evenly over the regions.
+	// Destinations are assumed to be spread evenly over the regions.
 	toOtherRegions := rate * (e.Regions - 1) / e.Regions * secondsPerHour
 	toThisRegion := rate / e.Regions * secondsPerHour
 	diskPerMessage := e.cost(JournalDisk, e.RelayBacklog()).value / e.RelayBacklog()
@@ -70,7 +70,8 @@
 	}
 }
 
-// dailyRestarts is the restarts of one day together.
+// dailyRestarts returns the effects of all restarts of a day. LostRelays is the mean number of relays that are not yet
+// ready.
 func (e estimator) dailyRestarts() Outage {
 	startup := e.cost(RelayRecoveryTime, e.RelayBacklog()).value
 	return Outage{
--- a/internal/capacity/outage_test.go
+++ b/internal/capacity/outage_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// exampleOutages returns what the outages of roundExample cost.
+// exampleOutages returns the expected outages of roundExample.
 func exampleOutages() []Outage {
 	return []Outage{
 		{
@@ -74,7 +74,7 @@
 			}
 		}
 		if got.Guarantees == "" {
-			t.Errorf("%s says nothing of guarantees", got.Name)
+			t.Errorf("%s: Guarantees is empty", got.Name)
 		}
 	}
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The generated sections of the page, each between its markers.
+// The names of the generated sections, as in the markers of docs/CAPACITY.md.
 const (
 	SectionSummary     = "summary"
 	SectionRoles       = "roles"
@@ -18,14 +18,14 @@
 
 var errNothingMeasured = errors.New("capacity: nothing was measured")
 
-// sectionNames returns the sections in the order of the page.
+// sectionNames returns the names of the sections in the order of the page.
 func sectionNames() []string {
 	return []string{
 		SectionSummary, SectionRoles, SectionOutages, SectionBottlenecks, SectionSeries, SectionPrograms,
 	}
 }
 
-// Sections generates the sections of the page from measurements.
+// Sections generates the sections of the page from measurements, by name. It fails if the data has no run.
 func Sections(t Target, d Data) (map[string]string, error) {
 	r, ok := d.Latest()
 	if !ok {
@@ -47,18 +47,18 @@
 
 func endMarker(section string) string { return "<!-- capacity: end of " + section + " -->" }
 
-// Fill replaces the sections between their markers in a page. It rejects a page that lacks a pair of markers.
+// Fill replaces the text between the markers of each section in a page. It rejects a page that lacks a pair of markers.
 func Fill(page string, sections map[string]string) (string, error) {
 	for _, name := range sectionNames() {
 		text, ok := sections[name]
 		if !ok {
-			return "", fmt.Errorf("capacity: no section %s", name)
+			return "", fmt.Errorf("capacity: section %q is missing", name)
 		}
 		begin, end := beginMarker(name), endMarker(name)
 		before, rest, hasBegin := strings.Cut(page, begin)
 		_, after, hasEnd := strings.Cut(rest, end)
 		if !hasBegin || !hasEnd {
-			return "", fmt.Errorf("capacity: the page has no %q with %q behind it", begin, end)
+			return "", fmt.Errorf("capacity: the page has no marker %q followed by %q", begin, end)
 		}
 		page = before + begin + "\n" + strings.TrimSpace(text) + "\n" + end + after
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -16,13 +16,13 @@
 		"**Missing first: what carries relays",
 	} {
 		if summary := exampleSections(t)[SectionSummary]; !strings.Contains(summary, want) {
-			t.Errorf("the summary does not say %q:\n%s", want, summary)
+			t.Errorf("the summary does not contain %q:\n%s", want, summary)
 		}
 	}
 }
 
-// exampleSections returns the sections for a baseline and for a current program without the baseline's first
-// bottleneck.
+// exampleSections returns the sections for a baseline and a current program. The current program lacks the series of
+// the baseline's first bottleneck.
 func exampleSections(t *testing.T) map[string]string {
 	t.Helper()
 	target, baseline := roundExample()
@@ -47,24 +47,25 @@
 	page, err := Fill(blank, sections)
 	if err != nil || strings.Contains(page, "old\n") || !strings.Contains(page, "words of breaks") ||
 		!strings.Contains(page, "it does not start with the table") {
-		t.Fatalf("%v:\n%s", err, page)
+		t.Fatalf("the page was not filled correctly: %v\n%s", err, page)
 	}
 	if again, err := Fill(page, sections); err != nil || again != page {
-		t.Errorf("filled twice it is another page: %v", err)
+		t.Errorf("filling the page again changes it: %v", err)
 	}
 	if _, err := Fill(strings.Replace(blank, endMarker(SectionBottlenecks), "", 1), sections); err == nil {
-		t.Error("a page without the end of a section is filled")
+		t.Error("a page without the end marker of a section is accepted")
 	}
 }
 
 func TestSectionsWithoutData(t *testing.T) {
 	target, _ := roundExample()
 	if _, err := Sections(target, Data{}); err == nil {
-		t.Error("sections of nothing")
+		t.Error("sections were generated without measurements")
 	}
 }
 
-// docs/CAPACITY.md holds what docs/capacity.json gives, and would not with another measurement.
+// docs/CAPACITY.md holds the sections that are generated from docs/capacity.json. The test also changes a measurement
+// and expects another page, to show that the comparison detects a page that is out of date.
 func TestPageMatchesData(t *testing.T) {
 	page, err := os.ReadFile(pageFile)
 	if err != nil {
@@ -91,10 +92,10 @@
 		return filled
 	}
 	if generate() != string(page) {
-		t.Error("the page does not hold what the data gives: go run ./cmd/capacity tables")
+		t.Error("docs/CAPACITY.md is out of date: run 'go run ./cmd/capacity tables'")
 	}
 	d.Runs[0].Series[0].Points[0].Value *= 2
 	if generate() == string(page) {
-		t.Error("another measurement gives the same page: this test sees nothing")
+		t.Error("another measurement gives the same page: the comparison above proves nothing")
 	}
 }
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// The packages that provide what is figured, in the words of the page.
+// The packages that implement the mechanisms of figures and bottlenecks, as the capacity page prints them.
 const (
 	engineMechanism   = "`policy`"
 	loopMechanism     = "`internal/relay`, `policy`, `internal/state/journal`"
@@ -17,7 +17,7 @@
 	noMechanism       = ""
 )
 
-// Names of budgets.
+// The names of the budgets, as the capacity page prints them.
 const (
 	controlPlaneBudget = "control"
 	coreBudget         = "one core"
@@ -26,7 +26,7 @@
 	measuredBudget     = "as measured"
 )
 
-// Roles returns the parts of the fleet with what the target asks of each, by the measurements of a run.
+// Roles returns the parts of the fleet, each with the figures that follow from the target and a run.
 func Roles(t Target, r Run) []Role {
 	e := estimator{t, r}
 	return []Role{
@@ -38,7 +38,7 @@
 	}
 }
 
-// knownDestinations is how many destinations the engine of a relay knows.
+// knownDestinations estimates how many destinations the engine of a relay has state for.
 func (e estimator) knownDestinations() estimate {
 	if e.run.ActiveOnly {
 		return derived(e.ActiveDestinations(), "awake: traffic within %s or down", Format(e.IdleTimeout, Seconds))
@@ -131,10 +131,11 @@
 	}}
 }
 
-// watchMessageRate is the rate of messages on a watch of the endpoint list.
+// watchMessageRate returns the messages per second on one watch of the endpoint list: changes and heartbeats.
 func (e estimator) watchMessageRate() float64 { return e.ChangesPerDay/secondsPerDay + heartbeatRate }
 
-// takeoverRole is for whatever would deliver the backlog of a machine that is gone.
+// takeoverRole returns the figures of a service that would deliver the backlog of a lost machine. No such service
+// exists yet.
 func (e estimator) takeoverRole() Role {
 	backlog, rate := e.RelayBacklog(), e.RelayMessageRate()
 	disk := e.cost(JournalDisk, backlog)
--- a/internal/capacity/roles_test.go
+++ b/internal/capacity/roles_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Prefixes of the names that figuresByName gives.
+// Prefixes of the keys that figuresByName returns.
 const (
 	relayPrefix          = "A relay: deciding and sending: "
 	controlPlanePrefix   = "A relay: its control: "
@@ -15,7 +15,8 @@
 	takeoverPrefix       = "Whoever takes over lost work: "
 )
 
-// figuresByName returns the figures of all roles by role and name.
+// figuresByName returns the figures of all roles. A key is "role: figure", without what follows a comma in the name of
+// the role.
 func figuresByName(target Target, run Run) map[string]Figure {
 	all := map[string]Figure{}
 	for _, role := range Roles(target, run) {
@@ -27,7 +28,7 @@
 	return all
 }
 
-// wantFigure is what a figure should be. The text is part of its verdict's.
+// wantFigure is the expected state of a figure. Its VerdictText must contain the text.
 type wantFigure struct {
 	value   float64
 	verdict Verdict
@@ -40,7 +41,7 @@
 	for name, want := range wants {
 		f, ok := all[prefix+name]
 		if !ok {
-			t.Errorf("no figure %q", prefix+name)
+			t.Errorf("figure %q is missing", prefix+name)
 			continue
 		}
 		if !closeTo(f.Value, want.value) || f.Verdict() != want.verdict ||
@@ -138,14 +139,14 @@
 	const list, fleet = 0.1*1.1e-3 + 0.02, 0.011
 	if f := figuresByName(target, run)[controlPlanePrefix+"all: processor"]; !closeTo(f.Value, list+fleet) ||
 		f.Verdict() != WithinBudget {
-		t.Errorf("%g, %s", f.Value, f.VerdictText())
+		t.Errorf("total cores: %g, %s; want %g, %v", f.Value, f.VerdictText(), list+fleet, WithinBudget)
 	}
 }
 
 func TestEngineKnowsActiveDestinations(t *testing.T) {
 	target, run := roundExample()
 	run.ActiveOnly = true
-	active := 1 - math.Exp(-30.0/(100/10.0)) // a message to a destination every ten seconds
+	active := 1 - math.Exp(-30.0/(100/10.0)) // a relay has a message for a destination every ten seconds
 	f := figuresByName(target, run)[relayPrefix+"state: destinations that the module knows"]
 	if want := 1000 * (0.02 + 0.98*active); !closeTo(f.Value, want) {
 		t.Errorf("%g active destinations, want %g", f.Value, want)
--- a/internal/capacity/summary.go
+++ b/internal/capacity/summary.go
@@ -31,7 +31,8 @@
 	return text.String()
 }
 
-// baselineSentence says what the first bottleneck of the baseline was, if the page is about a later program.
+// baselineSentence names the first bottleneck of the baseline. It returns an empty string if r is the run of the
+// baseline itself, or if the baseline was not measured or has no bottleneck.
 func baselineSentence(t Target, d Data, r Run) string {
 	baseline, ok := d.Run(Baseline)
 	if !ok || r.Program == Baseline {
@@ -46,7 +47,7 @@
 		100*first.TargetFraction(), first.Description, first.Effect)
 }
 
-// verdictSummary lists the figures that are not as they should be.
+// verdictSummary counts figures by verdict, and lists those that exceed their budget or have no value.
 type verdictSummary struct {
 	figures                            int
 	count                              map[Verdict]int
@@ -85,7 +86,7 @@
 	}
 }
 
-// axesTable has the most urgent bottleneck of each axis.
+// axesTable returns a table with the most urgent bottleneck of each axis.
 func axesTable(bottlenecks []Bottleneck) string {
 	x := newTable("axis", "target", "first break", "at", "share of the target", "effect")
 	var seen []string
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// provenance says when, of what and on which machine a run was measured.
+// provenance returns the date, the commit and the machine of a run.
 func provenance(r Run) string {
 	quick := ""
 	if r.Quick {
@@ -157,7 +157,7 @@
 	return strings.Join(points, "; ")
 }
 
-// describeModel returns the line of a series, its residual and what else there is to say of it.
+// describeModel returns the fitted line of a series, its residual, and notes on limitations and nonlinearity.
 func describeModel(s Series) (line, residual, notes string) {
 	var all []string
 	if s.Limitations != "" {
@@ -177,7 +177,7 @@
 	return line, fmt.Sprintf("%.1f %%", 100*m.Residual), strings.Join(all, "; ")
 }
 
-// programsSection compares the series of both programs that were measured at the same sizes.
+// programsSection compares the relay and engine series of both programs, at the baseline's sizes.
 func programsSection(d Data) string {
 	baseline, ok := d.Run(Baseline)
 	if !ok {
@@ -213,7 +213,7 @@
 	return Format(p.Value, unit)
 }
 
-// formatPointAt is formatPoint for the point of a series at a size.
+// formatPointAt formats the point of a series at a size, or returns "not measured" if there is none.
 func formatPointAt(s Series, size float64, unit Unit) string {
 	for _, p := range s.Points {
 		if p.Size == size {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,48 +1,47 @@
-// Package capacity works out what a fleet of the design target needs: it fits models to costs that were measured at
-// three sizes or more, extrapolates them to the target, compares the results with budgets and writes the tables of
-// docs/CAPACITY.md. It is pure: measurements come as Data.
+// Package capacity estimates what a fleet of the design target needs. It fits models to costs that were measured at
+// three sizes or more, extrapolates them to the target, compares the results with budgets and generates the tables of
+// docs/CAPACITY.md. It does no I/O: callers pass the measurements as Data.
 package capacity
 
 import "math"
 
-// secondsPerDay is the length of a day.
 const secondsPerDay = 86_400
 
-// heartbeatRate is how often discovery sends an empty line on a watch, per second.
+// heartbeatRate is the number of empty lines per second that discovery sends on a watch.
 const heartbeatRate = 0.5
 
-// Target is the fleet to design for, and the budgets that it may use. Rates are per second, times in seconds, amounts
-// in bytes, unless a field says otherwise.
+// Target describes the fleet to design for and its budgets. Rates are per second and times are in seconds, unless a
+// field states another unit.
 type Target struct {
 	Relays               float64
 	MessageRate          float64 // of all relays together
 	Destinations         float64
-	UnavailableFraction  float64 // of the destinations, at any time
+	UnavailableFraction  float64 // fraction of the destinations that is unavailable at any time
 	Backlog              float64 // messages queued in all relays together
 	Regions              float64
-	Zones                float64
+	Zones                float64 // in all regions together
 	ChangesPerDay        float64 // of the endpoint list
-	MaxPropagationTime   float64 // of a change, to all relays
+	MaxPropagationTime   float64 // until a change reaches all relays
 	ControlPlane         ResourceBudget
-	ControlMachines      float64
+	ControlMachines      float64 // machines that would serve the endpoint list to the relays
 	MachineFailures      float64 // per day
 	Restarts             float64 // of relays, per day
 	DestinationEndpoints float64 // endpoints of one destination
 	IdleTimeout          float64 // how long a destination is active after its last message; default of warm_within_ms
 	RackRelays           float64 // relays behind one switch
-	RelayCores           float64 // that one relay may use
+	RelayCores           float64 // cores that one relay may use
 	MaxStartupTime       float64 // until a restarted relay is ready
 }
 
 // ResourceBudget is what the control plane of one relay may use.
 type ResourceBudget struct {
 	Cores    float64
-	Memory   float64
-	ByteRate float64
+	Memory   float64 // bytes
+	ByteRate float64 // bytes per second
 }
 
-// Design returns the operators' target. The operators' page does not say DestinationEndpoints, IdleTimeout, RackRelays,
-// RelayCores and MaxStartupTime: they are assumptions.
+// Design returns the operators' target. The operators do not specify DestinationEndpoints, IdleTimeout, RackRelays,
+// RelayCores and MaxStartupTime: their values are assumptions.
 func Design() Target {
 	return Target{
 		Relays:               2600,
@@ -84,8 +83,8 @@
 // RegionRelays is the number of relays in one region.
 func (t Target) RegionRelays() float64 { return t.Relays / t.Regions }
 
-// ActiveDestinations is the number of destinations that one relay has had a message for within IdleTimeout, and of
-// those that are unavailable.
+// ActiveDestinations is the expected number of destinations that are active at one relay: those that are unavailable,
+// and those that the relay had a message for within IdleTimeout. Messages are assumed to arrive at random times.
 func (t Target) ActiveDestinations() float64 {
 	recentlyUsed := 1 - math.Exp(-t.IdleTimeout/t.MessageInterval())
 	return t.Destinations * (t.UnavailableFraction + (1-t.UnavailableFraction)*recentlyUsed)
--- a/internal/capacity/usage/usage.go
+++ b/internal/capacity/usage/usage.go
@@ -18,8 +18,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// ThreadCPU runs work and returns the processor time of its thread. What other threads do meanwhile, such as those of
-// the garbage collector, is not part of it.
+// ThreadCPU runs work and returns the processor time of its thread. Other threads, such as those of the garbage
+// collector, are not included.
 func ThreadCPU(work func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -36,8 +36,8 @@
 	return time.Duration(now.Nano())
 }
 
-// Memory collects garbage and returns what is in use then. The second collection frees what finalizers of the first one
-// released.
+// Memory collects garbage twice and returns the memory statistics after that. The second collection frees the objects
+// that finalizers released after the first one.
 func Memory() runtime.MemStats {
 	runtime.GC()
 	runtime.GC()
--- a/internal/capacity/usage/usage_test.go
+++ b/internal/capacity/usage/usage_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// busy uses processor time until the process has used so much.
-func busy(least time.Duration) {
-	for began := ProcessCPU(); ProcessCPU() < began+least; {
+// busy loops until the process has used at least the given additional processor time.
+func busy(minimum time.Duration) {
+	for began := ProcessCPU(); ProcessCPU() < began+minimum; {
 		continue
 	}
 }
@@ -24,11 +24,11 @@
 
 func TestThreadCPU(t *testing.T) {
 	if got := ThreadCPU(func() { busy(20 * time.Millisecond) }); got <= 0 {
-		t.Errorf("a busy thread used %v", got)
+		t.Errorf("a busy thread used %v, want more than 0", got)
 	}
 	const idle = 50 * time.Millisecond
 	if got := ThreadCPU(func() { time.Sleep(idle) }); got >= idle {
-		t.Errorf("a thread that slept for %v used %v", idle, got)
+		t.Errorf("a thread that slept for %v used %v of processor time", idle, got)
 	}
 }
 
