--- a/internal/capacity/hollow/agent.go
+++ b/internal/capacity/hollow/agent.go
@@ -13,12 +13,13 @@
 
 const (
 	agentStepInterval       = 250 * time.Millisecond // of virtual time
-	measuredChanges         = 11
+	measuredChanges         = 11                     // changes of one endpoint each
 	endpointsPerDestination = 2
 )
 
-// MeasureAgent measures what an endpoint list, with two endpoints for each destination, costs the agent of a member:
-// its memory, the snapshot, a change of one endpoint, and steps in which nothing happens. There is no other member.
+// MeasureAgent measures the cost of an endpoint list, with two endpoints for each destination, to the agent of one
+// member: the agent's memory, and the processor time of the snapshot, of a change of one endpoint and of a step without
+// events. The fleet has one other member, which sends nothing.
 func MeasureAgent(destinations int, shareQuota bool) Measurement {
 	before := memoryInUse()
 	a := agent.New(agent.Settings{
@@ -35,6 +36,8 @@
 	return Measurement{destinations, values}
 }
 
+// agentStepTimes returns the processor time of the agent's steps in microseconds: the snapshot, and the medians of the
+// changes of one endpoint and of the steps without events.
 func agentStepTimes(a *agent.Agent, endpoints []policy.Endpoint) map[Metric]float64 {
 	now := time.Second
 	step := func(events ...policy.Event) float64 {
--- a/internal/capacity/hollow/agent_test.go
+++ b/internal/capacity/hollow/agent_test.go
@@ -6,7 +6,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// An agent needs no more memory for a list than an idle destination may take. Times are recorded, not checked.
+// An agent needs at most 800 bytes of memory for each listed destination, the budget of an idle destination. The times
+// are recorded, not checked.
 func TestMeasureAgent(t *testing.T) {
 	for _, destinations := range scaletest.Sizes(t, []int{1000}, 1000, 10000, 50000, 140000) {
 		m := MeasureAgent(destinations, false)
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// backlogBatch messages are accepted in one step: those of minStepInterval at 1,600 per second.
+	// backlogBatch is the number of messages accepted in one step. With a step every minStepInterval this is 1,600
+	// messages per second.
 	backlogBatch = 8
-	// backlogInFlight bounds the calls in flight.
+	// backlogInFlight is the engine's limit on concurrent calls.
 	backlogInFlight = 64
 	// backlogCallLatency is the latency of each call.
 	backlogCallLatency = 5 * time.Millisecond
-	// unlimitedWeight is an endpoint weight with which pacing delays nothing.
+	// unlimitedWeight is an endpoint weight so high that pacing delays no call.
 	unlimitedWeight = 1e6
-	// backlogTimeLeft is more than the measurement takes in virtual time.
+	// backlogTimeLeft is the remaining lifetime of each message. The measurement takes less virtual time, so no message
+	// expires.
 	backlogTimeLeft = 8 * time.Hour
-	// measuredFraction of the messages is accepted or sent in one measurement.
+	// measuredFraction is the divisor of the number of messages: one measurement accepts or sends a tenth of them.
 	measuredFraction = 10
-	idleSteps        = 100
+	idleSteps        = 100 // steps without events that are measured
 	engineSeed       = 1
-	engineStart      = time.Minute // of virtual time
+	engineStart      = time.Minute // virtual time of the first step
 )
 
-// backlogSimulation is a decision engine that has queued messages. Simulated are the journal, the event loop and all
-// endpoints.
+// backlogSimulation is a real decision engine with queued messages. The journal, the event loop and all endpoints are
+// simulated.
 type backlogSimulation struct {
 	engine       *policy.Engine
 	now          time.Duration
@@ -37,10 +39,12 @@
 	values       map[Metric]float64
 }
 
-// MeasureBacklog measures what the decision engine spends on queued messages, spread over destinations that are out of
-// service: on accepting the first and the last tenth of them, in batches; on a step in which nothing happens; on
-// sending the first tenth of them once all destinations are back in service; and on accepting all of them in one step,
-// as in a recovery.
+// MeasureBacklog measures the cost of queued messages to the decision engine, in memory and processor time. The
+// messages are spread over destinations that are out of service. The measured operations are
+//   - accepting the first and the last tenth of the messages, in batches,
+//   - a step without events,
+//   - sending a tenth of the messages once all destinations are back in service,
+//   - accepting all messages in one step, as in a recovery.
 func MeasureBacklog(messages, destinations int) (Measurement, error) {
 	endpoints := make([]policy.Endpoint, 0, destinations)
 	for destination := range policy.DestinationID(destinations) {
@@ -106,7 +110,7 @@
 	}
 }
 
-// timePerItem runs work and returns its processor time for each of so many items, in microseconds.
+// timePerItem runs work, which handles a number of items, and returns the processor time per item in microseconds.
 func timePerItem(items int, work func()) float64 {
 	return microseconds(usage.ThreadCPU(work)) / float64(max(1, items))
 }
@@ -118,7 +122,8 @@
 	s.values[LastAcceptTime] = s.accept(s.messages-tenth, s.messages)
 }
 
-// accept accepts the messages from one index up to another, and returns the time of each.
+// accept accepts the messages with the indexes from <= i < to, and returns the processor time per message in
+// microseconds.
 func (s *backlogSimulation) accept(from, to int) float64 {
 	var events []policy.Event
 	return timePerItem(to-from, func() {
@@ -142,7 +147,8 @@
 	})
 }
 
-// measureSend brings all destinations back into service, and lets the engine send a tenth of the messages.
+// measureSend brings all destinations back into service and steps the engine until it has sent a tenth of the
+// messages.
 func (s *backlogSimulation) measureSend() {
 	s.setInService(true)
 	s.now += time.Second
@@ -165,6 +171,7 @@
 	s.values[SentFraction] = float64(sent) / float64(s.messages)
 }
 
+// successfulCall returns the event that a call has succeeded and thereby ended its message.
 func successfulCall(call policy.Action) policy.Event {
 	return policy.Event{
 		Kind:         policy.AttemptFinished,
@@ -176,7 +183,7 @@
 	}
 }
 
-// measureRecovery gives a new engine all messages in one step.
+// measureRecovery measures one step in which a new engine accepts all messages as recovered from the journal.
 func (s *backlogSimulation) measureRecovery() error {
 	engine, err := policy.New(backlogSettings(), engineSeed)
 	if err != nil {
--- a/internal/capacity/hollow/faults.go
+++ b/internal/capacity/hollow/faults.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
 )
 
-// Parts of the metrics of faults: what the members learn of, and what is measured of that.
+// Parts of the names of fault metrics: the prefix names the fault, the suffix names the measured quantity.
 const (
 	lossPrefix   = "gone"
 	healedPrefix = "healed"
@@ -20,8 +20,9 @@
 	knownByAllSuffix       = "_all_s"
 )
 
-// LoseZone stops the first members all at once, as if their machines had lost power, and measures how long the others
-// need to learn of it, and what they send and spend meanwhile. Nothing reaches the lost members or comes from them.
+// LoseZone stops the first size members at once, as if their machines had lost power, and separates them from the
+// network. It measures how long the other members take to detect the loss, and the bytes that they send and the
+// processor time that they use until then.
 func (f *Fleet) LoseZone(size int) Measurement {
 	isLost := func(index int) bool { return index < size }
 	f.network.partition(func(from, to int) bool { return isLost(from) || isLost(to) })
@@ -31,10 +32,11 @@
 	return Measurement{f.options.Members, f.awaitAlive(lossPrefix, f.members[size:], f.options.Members-size)}
 }
 
-// PartitionRegion separates the first members from all others for a while, heals the partition, and measures how long
-// all members need to be one fleet again, and what they send and spend from then on. For each side it also tells the
-// fraction of members that had found all of the other side dead before. A few members that hear nobody of many doubt
-// themselves first (Lifeguard), and need longer.
+// PartitionRegion separates the first size members from all others for a duration and then heals the partition. It
+// measures how long it takes after the healing until all members are alive to each other again, and the bytes that they
+// send and the processor time that they use until then. For each side it also returns the fraction of members that had
+// declared all members of the other side dead before the healing. The smaller side takes longer to do that: a member
+// whose probes fail for most of the fleet suspects its own connection first (Lifeguard) and waits longer.
 func (f *Fleet) PartitionRegion(size int, duration time.Duration) Measurement {
 	f.network.partition(func(from, to int) bool { return (from < size) != (to < size) })
 	time.Sleep(duration)
@@ -45,7 +47,8 @@
 	return Measurement{f.options.Members, values}
 }
 
-// splitFraction returns the fraction of members to which exactly these members are alive.
+// splitFraction returns the fraction of the given members that see exactly len(members) alive members: each other, and
+// no member of the other side.
 func splitFraction(members []*simulatedMember) float64 {
 	split := 0.0
 	for _, m := range members {
@@ -56,8 +59,9 @@
 	return split / float64(len(members))
 }
 
-// awaitAlive waits until so many members are alive to each of the observers, for ChangeTimeout at most. It returns how
-// long they needed, and what they sent and spent, as metrics with a prefix.
+// awaitAlive waits until each observer sees the given number of alive members, but at most ChangeTimeout. It returns
+// the times that the observers took, and the bytes that they sent and the processor time that they used meanwhile, as
+// metrics whose names begin with the prefix.
 func (f *Fleet) awaitAlive(prefix string, observers []*simulatedMember, alive int) map[Metric]float64 {
 	began, sentBefore, cpuBefore := time.Now(), f.sentBytes(observers), usage.ProcessCPU()
 	var times []float64
@@ -85,14 +89,14 @@
 		knownBy99PercentSuffix: 0.99,
 		knownByAllSuffix:       1,
 	} {
-		if i := int(fraction*count+0.999) - 1; i < len(times) { // without a time for what did not happen
+		if i := int(fraction*count+0.999) - 1; i < len(times) { // no metric if fewer observers succeeded
 			values[metric(suffix)] = times[i]
 		}
 	}
 	return values
 }
 
-// sentBytes returns what members have sent so far.
+// sentBytes returns the number of bytes that the members have sent so far.
 func (f *Fleet) sentBytes(members []*simulatedMember) (sum uint64) {
 	for _, m := range members {
 		sum += f.network.transports[m.index].sentBytes.Load()
--- a/internal/capacity/hollow/faults_test.go
+++ b/internal/capacity/hollow/faults_test.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// faultSizes are the numbers of members that faults are measured with.
+// faultSizes returns the fleet sizes at which faults are measured.
 func faultSizes(t *testing.T) []int {
 	t.Helper()
 	return scaletest.Sizes(t, []int{24}, 300)
@@ -24,7 +24,7 @@
 				m := f.LoseZone(zone)
 				scaletest.Record(t, fmt.Sprintf("zone of %d lost", zone), m.Size, m.Values)
 				checkRange(t, m, LossKnownFraction, 1, 1)
-				checkRange(t, m, LossKnownHalf, 1, 120) // Nobody can know before a probe has failed.
+				checkRange(t, m, LossKnownHalf, 1, 120) // No member detects the loss before a probe has failed.
 			})
 		})
 	}
--- a/internal/capacity/hollow/fleet.go
+++ b/internal/capacity/hollow/fleet.go
@@ -1,11 +1,12 @@
-// Package hollow measures what the control plane of a relay costs in a large fleet, with many simulated members in one
-// process. As in the hollow nodes of Kubemark, the code of a member is the real one (package fleet: membership, gossip,
-// load reports, codec, agent and quota), stepped by a loop like that of a relay, and what surrounds it is simulated:
-// sockets, clients, endpoints, the decision engine and the journal. So a measurement lacks what the operating system
-// spends on sockets, the delay and loss of a network, and the pauses of a process that has other work.
+// Package hollow measures the cost of a relay's control plane in a large fleet, with many simulated members in one
+// process. As in the hollow nodes of Kubemark, each member runs the real code of package fleet (membership, gossip,
+// load reports, codec, agent and quota), stepped by a loop like that of a relay. The surroundings of a member are
+// simulated: sockets, clients, endpoints, the decision engine and the journal. The measurements therefore lack the
+// operating system's work on sockets, the delay and loss of a real network, and the pauses of a process that also has
+// other work.
 //
-// All waits use package time: in real time, or in a bubble of testing/synctest, which fits more members than the
-// machine's processors could run.
+// All waits use package time. A fleet runs in real time, or in virtual time within a bubble of testing/synctest.
+// Virtual time allows for more members than the processors of the machine could run in real time.
 package hollow
 
 import (
@@ -25,29 +26,29 @@
 )
 
 const (
-	pollInterval = 50 * time.Millisecond // between two looks at all members
+	pollInterval = 50 * time.Millisecond // between two checks of all members
 	joinTimeout  = 5 * time.Minute
 
-	defaultLimit         = 50
-	defaultMessageRate   = 1
+	defaultLimit         = 50 // calls per second to each destination
+	defaultMessageRate   = 1  // messages per second of each member
 	defaultChangeTimeout = 20 * time.Second
 )
 
-// Options describe a fleet and what is measured of it.
+// Options describe a simulated fleet and its measurements.
 type Options struct {
 	Members      int
-	Destinations int     // that are listed
+	Destinations int     // in the endpoint list
 	Limit        float64 // calls per second to each destination; 0: defaultLimit
-	// ActiveDestinations are those that each member sends to, the first ones of the list. Four fit one load report. 0:
-	// there is no load.
+	// ActiveDestinations is the number of destinations, from the start of the list, to which each member sends
+	// messages. A load report has room for four of them. 0: the members send no messages.
 	ActiveDestinations int
-	MessageRate        float64 // per second of each member, over the active destinations; 0: defaultMessageRate
+	MessageRate        float64 // per second and member, over all active destinations; 0: defaultMessageRate
 	ShareQuota         bool
 
-	SettleTime    time.Duration // before the measurement, once all members are alive
-	MeasureTime   time.Duration // of the rates
-	Changes       int           // that are followed one after the other, each of another member, before the rates
-	ChangeTimeout time.Duration // for following one change or fault; 0: defaultChangeTimeout
+	SettleTime    time.Duration // wait between the join of all members and the measurement
+	MeasureTime   time.Duration // over which rates are measured, after the changes
+	Changes       int           // measured one after the other, each made by a different member
+	ChangeTimeout time.Duration // limit for the propagation of one change or fault; 0: defaultChangeTimeout
 }
 
 func (o *Options) setDefaults() {
@@ -64,13 +65,13 @@
 
 func (o *Options) validate() error {
 	if o.Members < 2 || o.Destinations < o.ActiveDestinations {
-		return fmt.Errorf("hollow: %d members, %d destinations, %d of them active",
+		return fmt.Errorf("hollow: %d members, want at least 2; %d destinations, want at least the %d active ones",
 			o.Members, o.Destinations, o.ActiveDestinations)
 	}
 	return nil
 }
 
-// Fleet is simulated members of one process that hear each other.
+// Fleet is a fleet of simulated members in one process, connected by a simulated network.
 type Fleet struct {
 	options     Options
 	network     *network
@@ -78,10 +79,10 @@
 	folder      string
 	stop        context.CancelFunc
 	goroutines  sync.WaitGroup
-	propagation atomic.Pointer[propagation] // nil: no change is followed
+	propagation atomic.Pointer[propagation] // of the change being measured; nil: none
 }
 
-// Start starts a fleet and waits until all members are alive to each other. The caller closes it.
+// Start starts a fleet and waits until all members are alive to each other. The caller must close the fleet.
 func Start(options Options) (*Fleet, error) {
 	options.setDefaults()
 	if err := options.validate(); err != nil {
@@ -142,13 +143,13 @@
 	misses := func(m *simulatedMember) bool { return m.member.AliveCount() < f.options.Members }
 	for deadline := time.Now().Add(joinTimeout); slices.ContainsFunc(f.members, misses); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			return errors.New("hollow: not all become members")
+			return fmt.Errorf("hollow: not all %d members joined within %v", f.options.Members, joinTimeout)
 		}
 	}
 	return nil
 }
 
-// Close stops all members.
+// Close stops all members and removes their data directories.
 func (f *Fleet) Close() error {
 	f.stop()
 	f.goroutines.Wait()
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// destinationKinds is the one kind of destination, without batches.
+// destinationKinds returns the only kind of destination of the simulation. It does not batch messages.
 func destinationKinds() []policy.DestinationKind { return []policy.DestinationKind{{MaxBatch: 1}} }
 
 func memberName(index int) string { return fmt.Sprintf("r%04d", index) }
--- a/internal/capacity/hollow/fleet_test.go
+++ b/internal/capacity/hollow/fleet_test.go
@@ -8,11 +8,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// What members spend and how soon they learn of changes, in virtual time. cmd/capacity runs this test by its name.
+// TestMeasure measures in virtual time what members spend and how fast changes propagate. cmd/capacity runs this test
+// and its subtests by their names.
 func TestMeasure(t *testing.T) {
-	// The long sizes are those that fit: 600 active members took 3.4 GB and had not ended after 440 s of processor
-	// time. Members of large fleets exchange digests and member tables once in a minute or more, so that only the
-	// time of the idle measurement is long enough to have its share of them.
+	// The long sizes are limited by memory and time: 600 active members took 3.4 GB and had not finished after 440 s of
+	// processor time. Members of large fleets exchange digests and member tables only once a minute or less often. Only
+	// the measureTime of the idle case is long enough to contain a representative number of these exchanges.
 	for _, c := range []struct {
 		name        string
 		options     Options
@@ -50,7 +51,7 @@
 	if options.Members < 100 {
 		sent := m.Values[SentByteRate]
 		checkRange(t, m, PropagationAll, 0, 3)
-		checkRange(t, m, ReceivedByteRate, 0.99*sent, 1.01*sent) // Nothing is lost on the way.
+		checkRange(t, m, ReceivedByteRate, 0.99*sent, 1.01*sent) // The network loses nothing.
 	}
 }
 
@@ -60,7 +61,7 @@
 		{Members: 2, Destinations: 3, ActiveDestinations: 4},
 	} {
 		if f, err := Start(options); err == nil {
-			t.Errorf("%+v are accepted", options)
+			t.Errorf("options %+v are accepted", options)
 			if err := f.Close(); err != nil {
 				t.Error(err)
 			}
@@ -68,7 +69,8 @@
 	}
 }
 
-// A change of a member that is separated from the others is known to nobody, and the measurement says so.
+// A change of a member that is separated from the others reaches no other member, and Change reports no times for it.
+// A change of another member reaches all members but the separated one.
 func TestChangeOfSeparatedMember(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f, stop := startFleet(t, Options{Members: 6, ChangeTimeout: 8 * time.Second})
@@ -76,10 +78,10 @@
 		const separated = 1
 		f.network.partition(func(from, to int) bool { return from == separated || to == separated })
 		if times := f.Change(separated); len(times) > 0 {
-			t.Errorf("known after %v", times)
+			t.Errorf("a change of the separated member reached others after %v", times)
 		}
 		if times := f.Change(0); len(times) != 4 {
-			t.Errorf("known to %d of the four that are not separated", len(times))
+			t.Errorf("the change reached %d members, want the four others that are not separated", len(times))
 		}
 	})
 }
--- a/internal/capacity/hollow/measure.go
+++ b/internal/capacity/hollow/measure.go
@@ -11,7 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
 )
 
-// Measure starts a fleet, measures the propagation of changes, its rates and its memory, and stops it.
+// Measure starts a fleet, measures the propagation of changes and the rates and memory of its members, and stops the
+// fleet.
 func Measure(options Options) (m Measurement, err error) {
 	before, began := memoryInUse(), time.Now()
 	f, err := Start(options)
@@ -29,7 +30,8 @@
 	return m, nil
 }
 
-// measurePropagation makes the changes of the options, one after the other.
+// measurePropagation makes Options.Changes changes, one after the other, and returns statistics of the times until the
+// other members receive them.
 func (f *Fleet) measurePropagation() map[Metric]float64 {
 	if f.options.Changes == 0 {
 		return nil
@@ -40,7 +42,7 @@
 		times := f.Change(i * f.options.Members / f.options.Changes)
 		timeUntil := func(count int) float64 {
 			if count > len(times) {
-				return f.options.ChangeTimeout.Seconds() // a lower bound
+				return f.options.ChangeTimeout.Seconds() // a lower bound: the change did not get that far
 			}
 			return times[count-1].Seconds()
 		}
@@ -58,7 +60,7 @@
 	}
 }
 
-// counters are what all members have done so far.
+// counters are the totals of all members so far, with the time at which they were read.
 type counters struct {
 	at                               time.Time
 	cpu                              time.Duration
@@ -83,7 +85,8 @@
 	return c
 }
 
-// measureRates measures for MeasureTime what a member spends, as a mean over all.
+// measureRates returns the traffic, steps and processor time of a member per second, as means over all members and over
+// MeasureTime.
 func (f *Fleet) measureRates() Measurement {
 	before := f.counters()
 	time.Sleep(f.options.MeasureTime)
--- a/internal/capacity/hollow/member.go
+++ b/internal/capacity/hollow/member.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// minStepInterval is the least time between two steps of a member.
+// minStepInterval is the minimum time between two steps of a member.
 const minStepInterval = 5 * time.Millisecond
 
 // simulatedMember is a real fleet member with a simulated relay around it.
@@ -23,14 +23,14 @@
 	changes       chan time.Duration // Retry-After values to observe
 	steps         atomic.Uint64
 
-	// The loop's own.
-	nextMessage     float64 // number of the message that is due next
+	// The fields below are used by loop only.
+	nextMessage     float64 // sequence number of the next message; it is due at this number divided by MessageRate
 	lastMessageID   policy.MessageID
-	pendingOutcomes []policy.Event // for the next step
-	hasSnapshot     bool
+	pendingOutcomes []policy.Event // outcomes of calls, delivered in the next step
+	hasSnapshot     bool           // the endpoint snapshot was delivered
 }
 
-// requestStep makes the loop step soon.
+// requestStep makes the loop step the member as soon as minStepInterval allows.
 func (m *simulatedMember) requestStep() {
 	select {
 	case m.stepRequested <- struct{}{}:
@@ -38,7 +38,7 @@
 	}
 }
 
-// loop steps the member as a relay's event loop does: on request, and no more often than minStepInterval.
+// loop steps the member as a relay's event loop does: on request, and at most once per minStepInterval.
 func (m *simulatedMember) loop(ctx context.Context) {
 	for {
 		var retryAfter time.Duration
@@ -53,19 +53,20 @@
 	}
 }
 
-// step steps the member. With a Retry-After it observes that, too.
+// step steps the member. If retryAfter is not 0, the member also observes an answer with this Retry-After.
 func (m *simulatedMember) step(retryAfter time.Duration) {
 	now := m.clock()
 	events, actions := m.simulate(now, retryAfter)
-	record, _ := m.member.Step(now, events, actions, nil) // Effects on an engine: there is none.
+	record, _ := m.member.Step(now, events, actions, nil) // There is no engine to take the returned events.
 	m.steps.Add(1)
 	if p := m.fleet.propagation.Load(); p != nil && p.isContained(record.Received) {
 		p.record(m.index)
 	}
 }
 
-// simulate returns what a relay would have seen and done since the last step: first of all the endpoint snapshot, then
-// the outcomes of the last step's calls, a Retry-After if there is one, and the messages that are due with their calls.
+// simulate returns the events and actions of a relay since the last step: the endpoint snapshot in the first step, the
+// outcomes of the last step's calls, an answer with Retry-After if retryAfter is not 0, and the messages that are due,
+// with a call for each.
 func (m *simulatedMember) simulate(
 	now, retryAfter time.Duration,
 ) (events []policy.Event, actions []policy.Action) {
@@ -103,7 +104,8 @@
 	return events, actions
 }
 
-// snapshot is the endpoint list, with one endpoint for each destination.
+// snapshot returns the endpoint list as an event. It has one endpoint for each destination, including the
+// changedDestination.
 func (f *Fleet) snapshot() policy.Event {
 	event := policy.Event{Kind: policy.EndpointSnapshot}
 	for destination := range policy.DestinationID(f.options.Destinations + 1) {
--- a/internal/capacity/hollow/network.go
+++ b/internal/capacity/hollow/network.go
@@ -14,24 +14,25 @@
 
 const (
 	memberPort = 7946
-	// maxQueuedDatagrams wait at a member. More are dropped, as a socket's buffer would.
+	// maxQueuedDatagrams bounds the datagrams that wait at a member. Further datagrams are dropped, as when a socket's
+	// receive buffer is full.
 	maxQueuedDatagrams = 1024
-	// maxQueuedStreams wait at a member to be accepted.
+	// maxQueuedStreams bounds the streams that wait to be accepted at a member.
 	maxQueuedStreams = 64
 )
 
 var (
-	errNoAnswer = errors.New("hollow: nobody answers")
-	errRefused  = errors.New("hollow: refused")
+	errNoAnswer = errors.New("hollow: no answer from the peer")
+	errRefused  = errors.New("hollow: connection refused")
 )
 
-// network connects the members of one process. It delivers datagrams whole and without delay. It loses those for which
-// the receiver has no room, and those between members that are partitioned.
+// network connects the members of one process. It delivers datagrams whole and without delay. It drops datagrams if the
+// receiver's queue is full or a partition separates the two members.
 type network struct {
 	transports  []*transport
 	byName      map[string]*transport
 	byAddr      map[string]*transport
-	addresses   map[string]string // of all members by name, as the operator's file lists them
+	addresses   map[string]string // of all members by name, as in the operator's file
 	isSeparated atomic.Pointer[func(from, to int) bool]
 }
 
@@ -59,18 +60,18 @@
 
 func memberIP(index int) net.IP { return net.IPv4(10, byte(index>>16), byte(index>>8), byte(index)) }
 
-// partition separates the members for which isSeparated is true.
+// partition stops all datagrams and new streams from one member to another for which isSeparated returns true.
 func (n *network) partition(isSeparated func(from, to int) bool) { n.isSeparated.Store(&isSeparated) }
 
 // heal ends a partition.
 func (n *network) heal() { n.isSeparated.Store(nil) }
 
-// traffic counts what passed a member's transport: bytes of datagrams' payloads and of streams.
+// traffic counts what a member has sent and received. Bytes are those of datagram payloads and of streams.
 type traffic struct {
 	sentBytes, sentDatagrams         atomic.Uint64
 	receivedBytes, receivedDatagrams atomic.Uint64
-	droppedDatagrams                 atomic.Uint64 // on their way to this member
-	streams                          atomic.Uint64 // that this member dialed
+	droppedDatagrams                 atomic.Uint64 // sent to this member while its queue was full
+	streams                          atomic.Uint64 // dialed by this member, failed attempts included
 }
 
 // transport is one member's connection to the network.
@@ -88,7 +89,8 @@
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// reach returns the transport of another member, if that can be reached.
+// reach returns the transport of the member at an address. It returns false if there is no such member or a partition
+// separates the two.
 func (t *transport) reach(a memberlist.Address) (*transport, bool) {
 	other, ok := t.network.byName[a.Name]
 	if !ok {
@@ -103,7 +105,7 @@
 	return other, true
 }
 
-// Network makes a transport the net.Addr of what it sends.
+// Network returns a name of the network. With it and String a transport is the net.Addr from which its datagrams come.
 func (t *transport) Network() string { return "hollow" }
 
 // String returns the member's address.
@@ -119,7 +121,7 @@
 	return t.WriteToAddress(payload, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress sends a datagram to a member.
+// WriteToAddress sends a datagram to a member. As over UDP, a lost datagram is no error.
 func (t *transport) WriteToAddress(payload []byte, a memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	t.sentDatagrams.Add(1)
@@ -141,7 +143,7 @@
 // PacketCh returns the datagrams that have arrived.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh returns the connections that others have opened.
+// StreamCh returns the connections that other members have opened to this one.
 func (t *transport) StreamCh() <-chan net.Conn { return t.conns }
 
 // DialTimeout opens a connection to an address.
@@ -149,7 +151,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a connection to a member. Across a partition it has no answer until the timeout.
+// DialAddressTimeout opens a connection to a member. Across a partition it waits for the whole timeout and fails.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.streams.Add(1)
 	other, ok := t.reach(a)
@@ -168,7 +170,7 @@
 	}
 }
 
-// Shutdown closes the transport, and the connections that nobody accepted.
+// Shutdown closes the transport and the incoming connections that were not accepted.
 func (t *transport) Shutdown() error {
 	var err error
 	t.closeOnce.Do(func() {
@@ -185,13 +187,13 @@
 	return err
 }
 
-// countingConn is one end of a stream. It counts what is written to it.
+// countingConn is one end of a stream. It counts the bytes that are written to it, as sent and as received.
 type countingConn struct {
 	net.Conn
 	from, to *transport
 }
 
-// Write writes to the other end.
+// Write writes data to the other end of the stream.
 func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.from.sentBytes.Add(uint64(n))
--- a/internal/capacity/hollow/propagation.go
+++ b/internal/capacity/hollow/propagation.go
@@ -9,9 +9,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// propagation follows one change: a Retry-After that one member observes.
+// propagation records when members receive a change. The change is a Retry-After that one member, the origin, observes.
 type propagation struct {
-	origin      string // the member's name
+	origin      string // name of the member that observes the Retry-After
 	destination policy.DestinationID
 	began       time.Time
 
@@ -19,7 +19,7 @@
 	known map[int]time.Duration // by member: time until it received the change
 }
 
-// isContained reports whether load reports contain the change.
+// isContained reports whether one of the load reports contains the change.
 func (p *propagation) isContained(reports []loadreport.Report) bool {
 	isChange := func(load loadreport.ScopeLoad) bool {
 		return load.Destination == p.destination && load.RetryAfter > 0
@@ -29,7 +29,7 @@
 	})
 }
 
-// record notes that a member knows the change.
+// record records the time at which a member first received the change.
 func (p *propagation) record(member int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,13 +38,14 @@
 	}
 }
 
+// knownCount returns the number of members that have received the change.
 func (p *propagation) knownCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.known)
 }
 
-// times returns the sorted times until members knew the change.
+// times returns the times from the change until members received it, sorted.
 func (p *propagation) times() (times []time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,13 +56,14 @@
 	return times
 }
 
-// changedDestination is the destination that changes are about. It is listed last and has no load.
+// changedDestination returns the destination whose endpoint answers with the Retry-After of a change. This destination
+// is the last one of the endpoint list and gets no messages.
 func (f *Fleet) changedDestination() policy.DestinationID {
 	return policy.DestinationID(f.options.Destinations)
 }
 
-// Change makes one member observe a Retry-After, and returns the sorted times until the others know of it. Those that
-// do not within ChangeTimeout are missing.
+// Change makes one member observe a Retry-After, and returns the times until the other members receive this change,
+// sorted. Members that do not receive the change within ChangeTimeout are missing.
 func (f *Fleet) Change(origin int) []time.Duration {
 	p := &propagation{
 		origin:      memberName(origin),
--- a/internal/capacity/hollow/quota.go
+++ b/internal/capacity/hollow/quota.go
@@ -13,29 +13,32 @@
 )
 
 const (
-	// quotaStepInterval is that of a member without load. A relay under load steps more often: that is part of what
-	// Measure measures.
+	// quotaStepInterval is the step interval of a member without load. A relay under load steps more often. The cost of
+	// these additional steps is included in the results of Measure, not in those of MeasureQuota.
 	quotaStepInterval = 50 * time.Millisecond
 	// renewInterval is how often a member renews the leases that it grants.
 	renewInterval = 600 * time.Millisecond
-	// quotaSettleTime of virtual time passes before the measurement, which takes quotaMeasureTime.
-	quotaSettleTime  = 6 * time.Second
+	// quotaSettleTime is the virtual time between the start of the ledger and the measurement.
+	quotaSettleTime = 6 * time.Second
+	// quotaMeasureTime is the virtual time that the measurement takes.
 	quotaMeasureTime = 6 * time.Second
-	// measuredMembers are measured one after the other, and their mean is taken.
+	// measuredMembers is the number of members that are measured, one after the other. The result is their mean.
 	measuredMembers = 4
-	// maxLeasesPerDatagram of a simulated lender.
+	// maxLeasesPerDatagram is how many leases a simulated peer puts into one datagram.
 	maxLeasesPerDatagram = 24
-	maxQuotaSize         = 1 << 16 // members, and destinations
+	maxQuotaSize         = 1 << 16 // maximum number of members, and of destinations
 )
 
-// MeasureQuota measures what one member spends on sharing the limits of destinations, in virtual time. Its quota ledger
-// and its codec are real, and what it sends and receives passes through the codec. All others are simulated: they
-// acknowledge, answer that they hold no lease of an earlier incarnation, and each grants leases for the destinations
-// whose lease holder is the measured member. They request nothing, so what active destinations add is missing, as is
-// what membership spends on datagrams. Measure with ShareQuota has both.
+// MeasureQuota measures the cost to one member of sharing the limits of destinations, in virtual time. The quota ledger
+// and the codec of this member are real, and all its messages pass through the codec. The other members are simulated:
+// they acknowledge messages, answer that they hold no lease of an earlier incarnation, and grant leases for the
+// destinations whose lease holder is the measured member. They send no requests, so the additional cost of active
+// destinations is not included. Nor is the cost of datagrams in the membership code. Measure with ShareQuota includes
+// both.
 func MeasureQuota(members, destinations int, limit float64) (Measurement, error) {
 	if members < 2 || destinations < 1 || members > maxQuotaSize || destinations > maxQuotaSize {
-		return Measurement{}, fmt.Errorf("hollow: quota of %d members and %d destinations", members, destinations)
+		return Measurement{}, fmt.Errorf("hollow: %d members, want 2 to %d; %d destinations, want 1 to %d",
+			members, maxQuotaSize, destinations, maxQuotaSize)
 	}
 	c, err := codec.New()
 	if err != nil {
@@ -54,27 +57,27 @@
 	return Measurement{members, mean}, nil
 }
 
-// quotaPeer is a simulated member as the measured one knows it.
+// quotaPeer is a simulated member that exchanges messages with the measured one.
 type quotaPeer struct {
 	name        string
 	incarnation loadreport.Incarnation
-	seq         uint64
+	seq         uint64 // of its last message
 	nextGrant   time.Duration
 }
 
-// message returns the peer's next message.
+// message returns the peer's next message, without content. The message acknowledges the measured member's incarnation.
 func (p *quotaPeer) message(acked loadreport.Incarnation) quota.Message {
 	p.seq++
 	return quota.Message{Member: p.name, Incarnation: p.incarnation, Seq: p.seq, AckedIncarnation: acked}
 }
 
-// quotaLink passes messages through the codec, and counts them.
+// quotaLink passes messages through the codec, and counts their datagrams and encoded bytes.
 type quotaLink struct {
 	codec            *codec.Codec
 	datagrams, bytes float64
 }
 
-// pass returns what the receiver of a message decodes.
+// pass encodes a message, counts it, and returns the message that the receiver decodes.
 func (l *quotaLink) pass(sender string, boot uint32, now time.Duration, m quota.Message) (quota.Message, error) {
 	datagram := codec.Message{From: sender, Boot: boot, Clock: now.Microseconds()}
 	datagram.SetQuotaMessage(m)
@@ -96,15 +99,16 @@
 	self        string
 	incarnation loadreport.Incarnation
 	ledger      *quota.Ledger
-	peers       []*quotaPeer // the member itself included
+	peers       []*quotaPeer // of all members, including the measured one
 	peersByName map[string]*quotaPeer
-	lease       float64 // rate that each peer grants of each destination
+	lease       float64 // rate of each lease that a peer grants, in calls per second
 
 	sent, received quotaLink
-	cpu            time.Duration // of the ledger and the codec
-	leases         int           // that the ledger granted
+	cpu            time.Duration // processor time of the ledger and the codec
+	leases         int           // granted by the ledger
 }
 
+// measureQuotaOf measures the member with the index self.
 func measureQuotaOf(c *codec.Codec, members, destinations int, limit float64, self int) (map[Metric]float64, error) {
 	s := &quotaSimulation{
 		peersByName: map[string]*quotaPeer{},
@@ -141,7 +145,7 @@
 	return values, nil
 }
 
-// addPeers gives each member a random time of its first grant.
+// addPeers adds a peer for each member. Each grants its first leases at a random time within renewInterval.
 func (s *quotaSimulation) addPeers(members, self int) {
 	rng := rand.New(rand.NewPCG(uint64(members), uint64(self)))
 	for i := range members {
@@ -164,12 +168,13 @@
 	return names
 }
 
+// resetCounters begins a new period of measurement.
 func (s *quotaSimulation) resetCounters(c *codec.Codec) {
 	s.sent, s.received = quotaLink{codec: c}, quotaLink{codec: c}
 	s.cpu, s.leases = 0, 0
 }
 
-// step steps the ledger, and delivers what its peers answer and grant.
+// step steps the ledger, and delivers the answers of its peers and the leases that they grant.
 func (s *quotaSimulation) step(now time.Duration) error {
 	answers, err := s.stepLedger(now)
 	if err != nil {
@@ -183,14 +188,14 @@
 	return nil
 }
 
-// stepLedger steps the ledger and returns the answers to what it sends.
+// stepLedger steps the ledger and returns the peers' answers to the messages that the ledger sends.
 func (s *quotaSimulation) stepLedger(now time.Duration) (answers []quota.Message, err error) {
 	var messages []quota.Message
 	s.cpu += usage.ThreadCPU(func() { messages, _ = s.ledger.Step(now) })
 	for _, m := range messages {
 		s.leases += len(m.Leases)
 		var received quota.Message
-		// Decoding is the receiver's part. It counts all the same, for the encoding of the answers does not.
+		// The measured time also includes the decoding, which is the receiver's work in a real fleet.
 		s.cpu += usage.ThreadCPU(func() { received, err = s.sent.pass(s.self, s.incarnation.Boot, now, m) })
 		if err != nil {
 			return nil, err
@@ -206,8 +211,9 @@
 	return answers, nil
 }
 
-// grants returns the leases that are due from the peers, for the destinations whose lease holder is the measured
-// member.
+// grants returns the messages of the peers whose next grant is due. Each of these peers grants leases for all
+// destinations whose lease holder is the measured member. During the first LeaseDuration and LeaseMargin no peer grants
+// any.
 func (s *quotaSimulation) grants(now time.Duration) (messages []quota.Message) {
 	var leases []quota.Lease
 	for _, status := range s.ledger.Status(now) {
@@ -234,7 +240,8 @@
 	return messages
 }
 
-// deliver lets the ledger receive a message.
+// deliver passes a message through the codec to the ledger. The measured time also includes the encoding, which is the
+// sender's work in a real fleet.
 func (s *quotaSimulation) deliver(now time.Duration, m quota.Message) (err error) {
 	s.cpu += usage.ThreadCPU(func() {
 		var received quota.Message
--- a/internal/capacity/hollow/quota_test.go
+++ b/internal/capacity/hollow/quota_test.go
@@ -6,7 +6,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// What sharing limits costs one member. cmd/capacity runs this test by its name.
+// TestMeasureQuota measures the cost to one member of sharing limits. cmd/capacity runs this test by its name.
 func TestMeasureQuota(t *testing.T) {
 	destinations := []int{30}
 	if scaletest.Full() {
@@ -20,7 +20,7 @@
 			}
 			scaletest.Record(t, CaseQuota(d), m.Size, m.Values)
 			checkRange(t, m, SharedDestinations, float64(d), float64(d))
-			// All limits that the member does not hold itself are lent again at each renewal.
+			// Every renewInterval the member renews a lease for each destination whose lease holder is another member.
 			lent := (float64(d) - m.Values[HeldDestinations]) / renewInterval.Seconds()
 			granted := float64(members) / renewInterval.Seconds() * float64(d)
 			checkRange(t, m, LeaseRate, 0.9*lent, 1.1*lent)
