--- a/cmd/capacity/endpointlist.go
+++ b/cmd/capacity/endpointlist.go
@@ -16,7 +16,7 @@
 
 	// closedAddr is an address that refuses connections.
 	closedAddr = "127.0.0.1:9"
-	// exampleAddr is as long as addresses are in production.
+	// exampleAddr has the length of a production address. The size of an endpoint snapshot depends on the length.
 	exampleAddr = "10.20.30.40:8080"
 )
 
--- a/cmd/capacity/engine.go
+++ b/cmd/capacity/engine.go
@@ -14,33 +14,36 @@
 
 const (
 	engineSeed        = 1
-	engineStart       = time.Minute           // of virtual time
-	engineCallLatency = 10 * time.Millisecond // of each call
-	// firstCallSpread is more than the time over which an engine spreads first calls after an endpoint snapshot.
+	engineStart       = time.Minute           // virtual time before the first step
+	engineCallLatency = 10 * time.Millisecond // latency of each call
+	// firstCallSpread is the wait after an endpoint snapshot. It is longer than the time over which an engine spreads
+	// its first calls to new endpoints.
 	firstCallSpread = 5 * time.Second
-	// unlimitedWeight is an endpoint weight with which pacing delays nothing that is measured.
+	// unlimitedWeight is an endpoint weight so high that pacing delays no measured call.
 	unlimitedWeight = 5e5
-	messageKey      = "k"
+	messageKey      = "k" // ordering key of all messages
 
-	// activeDestinations are in service beside a backlog.
+	// activeDestinations is the number of destinations in service while a backlog is measured.
 	activeDestinations = 500
-	// unavailableDestinations have the messages of a backlog: as many as are unavailable at any time at the target.
+	// unavailableDestinations is the number of destinations that are out of service and have the queued messages of a
+	// backlog. As many are unavailable at any time in a fleet of the design target.
 	unavailableDestinations = 2240
 )
 
-// heapInUse returns the bytes of live objects.
+// heapInUse returns the bytes of live heap objects.
 func heapInUse() float64 { return float64(usage.Memory().HeapAlloc) }
 
-// simulatedRelay is a decision engine whose calls all succeed.
+// simulatedRelay is a real decision engine whose calls are simulated and all succeed.
 type simulatedRelay struct {
 	*policy.Engine
 	now      time.Duration
-	outcomes []policy.Event // for the next step
+	outcomes []policy.Event // of the last step's calls, delivered in the next step
 	sent     int            // calls so far
 	lastID   policy.MessageID
 }
 
-// newSimulatedRelay returns a relay that knows destinations, of which some are in service.
+// newSimulatedRelay returns a relay that has received a snapshot of the given number of destinations. The destinations
+// for which inService returns true are in service.
 func newSimulatedRelay(destinations int, inService func(destination int) bool) (*simulatedRelay, error) {
 	engine, err := policy.New(engineSettings(), engineSeed)
 	if err != nil {
@@ -90,7 +93,7 @@
 
 func allInService(int) bool { return true }
 
-// step steps the engine with events, and with the outcomes of the calls of the last step.
+// step steps the engine with the outcomes of the last step's calls, followed by the given events.
 func (s *simulatedRelay) step(events ...policy.Event) {
 	s.now += time.Millisecond
 	events = append(s.outcomes, events...)
@@ -111,7 +114,8 @@
 	}
 }
 
-// submit submits messages to random destinations, each in a step of its own, so that the next step ends it.
+// submit submits messages to random destinations, one per step. Each step also delivers the outcome of the previous
+// message's call, which ends that message.
 func (s *simulatedRelay) submit(messages, destinations int, rng *rand.Rand) {
 	for range messages {
 		s.lastID++
@@ -125,24 +129,24 @@
 	}
 }
 
-// measureSubmit returns the CPU seconds of one message. It is an error if less than nine in ten of the messages are
-// sent: then something else is measured.
+// measureSubmit submits messages and returns the CPU seconds per message. It fails if fewer than nine in ten of the
+// messages are sent, since the result is then not the cost of a delivered message.
 func (s *simulatedRelay) measureSubmit(messages, destinations int, rng *rand.Rand) (float64, error) {
 	began, sent := usage.ProcessCPU(), s.sent
 	s.submit(messages, destinations, rng)
 	used := usage.ProcessCPU() - began
 	if got := s.sent - sent; got < messages*9/10 {
-		return 0, fmt.Errorf("%d of %d messages were sent: the pace of the run measures something else", got, messages)
+		return 0, fmt.Errorf("%d of %d messages were sent, too few to measure the cost of a message", got, messages)
 	}
 	return used.Seconds() / float64(messages), nil
 }
 
-// engineSeries are the series over the known destinations.
+// engineSeries are the series over the number of destinations that the engine knows.
 type engineSeries struct {
 	message, memory, snapshot, delta *series
 }
 
-// measureEngine measures the decision engine alone.
+// measureEngine measures the decision engine, with simulated calls and without a journal.
 func measureEngine(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const axis = "destinations told"
 	all := engineSeries{
@@ -166,6 +170,7 @@
 	return collect(all.message, all.memory, all.snapshot, all.delta, memory, message), nil
 }
 
+// measure adds a value for the given number of destinations to each series.
 func (e *engineSeries) measure(destinations int) error {
 	const warmUpMessages, messages = 1000, 20_000
 	before := heapInUse()
@@ -188,7 +193,7 @@
 	return nil
 }
 
-// measureSnapshots returns the CPU seconds of an endpoint snapshot that changes nothing.
+// measureSnapshots returns the CPU seconds per endpoint snapshot, for snapshots that change nothing.
 func (s *simulatedRelay) measureSnapshots(endpoints []policy.Endpoint, snapshots int) float64 {
 	began := usage.ProcessCPU()
 	for range snapshots {
@@ -197,7 +202,7 @@
 	return (usage.ProcessCPU() - began).Seconds() / float64(snapshots)
 }
 
-// measureDeltas returns the CPU seconds of a change of one endpoint.
+// measureDeltas returns the CPU seconds per delta that changes one endpoint.
 func (s *simulatedRelay) measureDeltas(endpoints []policy.Endpoint, rng *rand.Rand) float64 {
 	const deltas = 20_000
 	began := usage.ProcessCPU()
@@ -209,7 +214,8 @@
 	return (usage.ProcessCPU() - began).Seconds() / deltas
 }
 
-// measureEngineBacklog queues messages for destinations that are out of service, and submits others beside them.
+// measureEngineBacklog queues messages for destinations that are out of service, and measures their memory and the cost
+// of other messages, which are delivered meanwhile.
 func measureEngineBacklog(ctx context.Context, b *bench) (memory, message *series, err error) {
 	const axis = "messages held"
 	memory = newSeries(capacity.EngineBacklogMemory, axis, capacity.Bytes)
@@ -222,16 +228,17 @@
 			return nil, nil, err
 		}
 		if err := measureBesideBacklog(queued, memory, message); err != nil {
-			return nil, nil, fmt.Errorf("beside %d held: %w", queued, err)
+			return nil, nil, fmt.Errorf("backlog of %d messages: %w", queued, err)
 		}
 	}
 	return memory, message, nil
 }
 
+// measureBesideBacklog adds a value for the given number of queued messages to each series.
 func measureBesideBacklog(queued int, memory, message *series) error {
 	const (
 		warmUpMessages, messages = 500, 10_000
-		// firstID is beyond the queued messages.
+		// firstID is greater than the IDs of all queued messages.
 		firstID = 1e9
 	)
 	s, err := newSimulatedRelay(activeDestinations+unavailableDestinations, func(destination int) bool {
@@ -255,8 +262,9 @@
 	return nil
 }
 
-// queue submits messages to the unavailable destinations, and waits until all of them have passed their latency
-// objective: each is moved within its queue then, once.
+// queue submits messages to the unavailable destinations, and advances the clock until all of them have passed their
+// latency objective. The engine then moves each message within its queue, once; this must not happen during the
+// measurement.
 func (s *simulatedRelay) queue(messages int) {
 	const batch, lateSeconds = 500, 10
 	events := make([]policy.Event, 0, batch)
--- a/cmd/capacity/fakeendpoints.go
+++ b/cmd/capacity/fakeendpoints.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// fakeEndpoints answer every call at once, at several addresses.
+// fakeEndpoints are HTTP servers, each with its own address, that answer every call at once with status 200.
 type fakeEndpoints struct {
 	servers []*httptest.Server
-	calls   atomic.Int64
+	calls   atomic.Int64 // received by all servers
 }
 
 func startEndpoints(count int) *fakeEndpoints {
@@ -21,13 +21,13 @@
 	return e
 }
 
-// ServeHTTP counts a call.
+// ServeHTTP answers a call and counts it.
 func (e *fakeEndpoints) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // A call that breaks off counts as well.
+	_, _ = io.Copy(io.Discard, r.Body) // A call with an incomplete body is counted as well.
 	e.calls.Add(1)
 }
 
-// addr returns one of the addresses in turn.
+// addr returns the address of server i modulo the number of servers.
 func (e *fakeEndpoints) addr(i int) string {
 	return e.servers[i%len(e.servers)].Listener.Addr().String()
 }
--- a/cmd/capacity/fleetbounds.go
+++ b/cmd/capacity/fleetbounds.go
@@ -13,7 +13,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// measureFleet measures the bounds of what relays share, and what that costs.
+// measureFleet measures the size limits of the fleet features (members, published destinations, quota accounts) and the
+// costs of a fleet.
 func measureFleet(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	bounds := collect(
 		measureBound(capacity.FleetMaxMembers, "relays", []int{256, 512, 1024, 1025, 2600}, membersAccepted),
@@ -26,7 +27,8 @@
 	return append(bounds, costs...), err
 }
 
-// measureBound tries sizes. handled returns how much of a size is handled: a size fails if that is not all of it.
+// measureBound returns a series over sizes. handled returns how many of size items are handled. A size counts as failed
+// if fewer than all are handled.
 func measureBound(name, axis string, sizes []int, handled func(size int) int) *series {
 	s := newSeries(name, axis, capacity.Count)
 	for _, size := range sizes {
@@ -39,7 +41,7 @@
 	return s
 }
 
-// membersAccepted returns the size of a member table if the operator's file may have it, or 0.
+// membersAccepted returns the number of members if an operator's file with so many is valid, or else 0.
 func membersAccepted(members int) int {
 	var text strings.Builder
 	text.WriteString("[fleet]\nenabled = true\nname = \"n0\"\nlisten = \"127.0.0.1:7946\"\n[fleet.join]\n")
@@ -52,7 +54,8 @@
 	return members
 }
 
-// newAgent returns the agent of one of eight members, after an endpoint snapshot.
+// newAgent returns the agent of one of eight members. It has received an endpoint snapshot with the given number of
+// destinations.
 func newAgent(destinations int, shareQuota bool) *agent.Agent {
 	a := agent.New(agent.Settings{
 		Self:             "n0",
@@ -71,9 +74,10 @@
 	return a
 }
 
-// destinationsPublished returns of how many destinations a member publishes load. It has ten messages a second to each.
+// destinationsPublished returns the number of destinations whose load a member publishes. The member accepts ten
+// messages per second for each of the given destinations.
 func destinationsPublished(destinations int) int {
-	const maxDestinations = 10_000 // for message IDs that differ
+	const maxDestinations = 10_000 // With fewer destinations the message IDs of two steps differ.
 	a, published := newAgent(destinations, false), map[policy.DestinationID]bool{}
 	for now := 3 * time.Second; now < 6*time.Second; now += 100 * time.Millisecond {
 		firstID := policy.MessageID(now.Milliseconds()) * maxDestinations
@@ -94,5 +98,6 @@
 	return len(published)
 }
 
-// quotaAccounts returns of how many destinations with a limit a member's quota ledger has an account.
+// quotaAccounts returns the number of accounts in a member's quota ledger, if the given number of destinations has a
+// limit.
 func quotaAccounts(destinations int) int { return len(newAgent(destinations, true).Quota().Accounts) }
--- a/cmd/capacity/fleetcosts.go
+++ b/cmd/capacity/fleetcosts.go
@@ -16,7 +16,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/hollow"
 )
 
-// Limitations of the series that are measured with simulated members.
+// Limitations of the series that are measured with simulated members. They are stored with the series.
 const (
 	simulatedIdle = "hollow relays in virtual time: sockets, clients, hosts and the module left out; nothing to tell"
 	simulatedLoad = "hollow relays in virtual time: sockets, clients, hosts and the module left out; " +
@@ -24,22 +24,23 @@
 	simulatedQuota = "hollow relays in virtual time: the others ask for nothing; 1,000 limits lent"
 )
 
-// hollowPackage has the tests that measure.
+// hollowPackage is the package whose tests measure the costs of a fleet.
 const hollowPackage = "cherrytrestle.example/cherrytrestle/internal/capacity/hollow"
 
 // quotaDestinations is the number of shared limits in the series of quota costs.
 const quotaDestinations = 1000
 
-// simulatedSeries is a series that a metric of one case becomes.
+// simulatedSeries describes a series made of the values that a metric has in the records of one case.
 type simulatedSeries struct {
 	name        string
 	unit        capacity.Unit
 	caseName    string
 	metric      hollow.Metric
-	factor      float64 // from the metric's unit to that of the series
+	factor      float64 // converts the metric's unit to the unit of the series
 	limitations string
 }
 
+// simulatedSeriesList returns all series that are made of the records of package hollow.
 func simulatedSeriesList() []simulatedSeries {
 	load := func(name string, unit capacity.Unit, metric hollow.Metric, factor float64) simulatedSeries {
 		return simulatedSeries{name, unit, hollow.CaseActive, metric, factor, simulatedLoad}
@@ -69,9 +70,9 @@
 	}
 }
 
-// measureFleetCosts has the tests of package hollow measure: fleets in virtual time are possible in tests only, as a
-// bubble of testing/synctest belongs to one. They write their measurements to a file. A check of theirs that fails is
-// noted with what was measured, and ends nothing here.
+// measureFleetCosts runs the tests of package hollow, which measure fleets in virtual time and write their measurements
+// to a file. Virtual time is available in tests only, since a bubble of testing/synctest needs a test. A failed test
+// does not end the measurement: it is logged and added to the limitations of all series.
 func measureFleetCosts(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	path := filepath.Join(b.folder, "hollow.jsonl")
 	failure := ""
@@ -96,24 +97,25 @@
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Join(errors.New("package hollow gave no readings"), err)
+		return nil, errors.Join(errors.New("tests of package hollow wrote no records"), err)
 	}
 	return readFleetCosts(data, failure)
 }
 
-// readFleetCosts makes series of records. The note is added to the limitations of each.
+// readFleetCosts makes series from data, which holds a hollow.Record in JSON on each line. It appends the note to the
+// limitations of each series.
 func readFleetCosts(data []byte, note string) ([]capacity.Series, error) {
 	var records []hollow.Record
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	for lines.Scan() {
 		var r hollow.Record
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			return nil, fmt.Errorf("readings of package hollow: %w", err)
+			return nil, fmt.Errorf("record %d of package hollow: %w", len(records)+1, err)
 		}
 		records = append(records, r)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("readings of package hollow: %w", err)
+		return nil, fmt.Errorf("read records of package hollow: %w", err)
 	}
 	slices.SortStableFunc(records, func(a, b hollow.Record) int { return a.Size - b.Size })
 	var all []capacity.Series
@@ -126,7 +128,7 @@
 			}
 		}
 		if len(s.Points) == 0 {
-			return nil, fmt.Errorf("package hollow gave no %q of %q", wanted.metric, wanted.caseName)
+			return nil, fmt.Errorf("package hollow recorded no metric %q in case %q", wanted.metric, wanted.caseName)
 		}
 		all = append(all, s.Series)
 	}
--- a/cmd/capacity/fleetcosts_test.go
+++ b/cmd/capacity/fleetcosts_test.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/hollow"
 )
 
-// recordLine returns a line of a file of records, with a value for each metric that becomes a series.
+// recordLine returns a line of a file of records. The record has a value for each metric that readFleetCosts needs.
 func recordLine(t *testing.T, caseName string, size int) string {
 	t.Helper()
 	line, err := json.Marshal(hollow.Record{Case: caseName, Measurement: hollow.Measurement{
@@ -39,11 +39,12 @@
 	cores := all[1]
 	if p := cores.Points; cores.Name != capacity.FleetCores || len(p) != 2 || p[0].Size != 100 ||
 		p[1].Size != 300 || p[0].Value != 0.005 {
-		t.Errorf("%+v", cores)
+		t.Errorf("series %+v, want cores of 100 and 300 members, 0.005 at 100", cores)
 	}
 }
 
-// The stored names of records are those that earlier programs wrote.
+// Files of records written by earlier versions of the program are still read: the names of fields, cases and metrics
+// have not changed.
 func TestReadFleetCostsOfStoredNames(t *testing.T) {
 	const values = `"sent_bytes_per_s":10,"processor_ms_per_s":5,"memory_bytes":7,` +
 		`"sent_datagrams_per_s":3,"known_all_s":2`
@@ -58,7 +59,7 @@
 func TestReadFleetCostsRejects(t *testing.T) {
 	for _, records := range []string{"", "{", recordLine(t, hollow.CaseActive, 100)} {
 		if all, err := readFleetCosts([]byte(records), ""); err == nil {
-			t.Errorf("%q gives %v", records, all)
+			t.Errorf("records %q are accepted and give %v", records, all)
 		}
 	}
 }
--- a/cmd/capacity/golden_test.go
+++ b/cmd/capacity/golden_test.go
@@ -12,7 +12,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
+// TestGoldenHelp compares the help of each command with the golden file: flags, their defaults and the names of
+// environment variables.
 func TestGoldenHelp(t *testing.T) {
 	run := func(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 		return command(ctx, args, cli.Streams{Out: stdout, Err: stderr})
--- a/cmd/capacity/journal.go
+++ b/cmd/capacity/journal.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	bodyBytes           = 1000 // of a message
-	journalDestinations = 1000
-	minJournalBytes     = 64e6
-	syncJournalBytes    = 256e6
+	bodyBytes           = 1000  // size of a message body
+	journalDestinations = 1000  // destinations over which the messages are spread
+	minJournalBytes     = 64e6  // least size limit of a journal
+	syncJournalBytes    = 256e6 // size limit of the journal for measureCommits
 )
 
 // newMessage returns a message for the journal.
@@ -36,13 +36,14 @@
 	}
 }
 
-// journalOptions are those of a journal in which so many messages have ample room, and whose bodies stay on disk.
+// journalOptions returns the options of a journal that is large enough for a number of messages and keeps their bodies
+// on disk only.
 func journalOptions(messages int) journal.Options {
 	const roomPerMessage = 4 * bodyBytes
 	return journal.Options{Limit: max(minJournalBytes, int64(messages)*roomPerMessage), MaxBodyBytes: 1}
 }
 
-// openJournal opens a journal, and returns the messages that it recovers.
+// openJournal opens a journal, and returns it with the messages that it recovers.
 func openJournal(folder string, options journal.Options) (*journal.Journal, []*journal.Message, error) {
 	j, recovered, err := journal.OpenFolder(folder, options)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return j, recovered.Messages, nil
 }
 
-// fillJournal puts messages into a new journal.
+// fillJournal creates a journal with a number of messages and closes it.
 func fillJournal(folder string, messages, destinations int) error {
 	j, _, err := openJournal(folder, journalOptions(messages))
 	if err != nil {
@@ -71,12 +72,12 @@
 	return j.Close()
 }
 
-// journalSeries are the series over the messages of a journal.
+// journalSeries are the series over the number of messages in a journal.
 type journalSeries struct {
 	disk, memory, message, recovery *series
 }
 
-// measureJournal measures the journal alone, on files.
+// measureJournal measures the journal without a relay, on files.
 func measureJournal(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	all := journalSeries{
 		disk:     newSeries(capacity.JournalDisk, "messages", capacity.Bytes),
@@ -103,6 +104,7 @@
 	return collect(all.disk, all.memory, all.message, all.recovery, syncTime), nil
 }
 
+// measure adds a value for the given number of messages to each series.
 func (s *journalSeries) measure(folder string, messages int) (err error) {
 	if err := fillJournal(folder, messages, journalDestinations); err != nil {
 		return err
@@ -121,7 +123,7 @@
 	defer func() { err = errors.Join(err, j.Close()) }()
 	s.recovery.add(messages, time.Since(began).Seconds())
 	if len(recovered) != messages {
-		return fmt.Errorf("%d of %d messages were found again", len(recovered), messages)
+		return fmt.Errorf("%d of %d messages were recovered", len(recovered), messages)
 	}
 	s.memory.add(messages, heapInUse()-before)
 	cpu, err := measureJournalMessage(j, recovered)
@@ -132,8 +134,8 @@
 	return nil
 }
 
-// measureJournalMessage accepts new messages and removes the oldest of the live ones. It returns the CPU seconds of one
-// message.
+// measureJournalMessage accepts new messages and removes the oldest live message after each. It returns the CPU seconds
+// per accepted message.
 func measureJournalMessage(j *journal.Journal, live []*journal.Message) (float64, error) {
 	const messages = 10_000
 	body, deadline := make([]byte, bodyBytes), time.Now().Add(time.Hour)
@@ -153,7 +155,7 @@
 	return (usage.ProcessCPU() - began).Seconds() / messages, nil
 }
 
-// measureJournalSync measures commits that outlast the machine.
+// measureJournalSync measures the time of commits that are synced to disk, which survive a crash of the machine.
 func measureJournalSync(b *bench) (*series, error) {
 	s := newSeries(capacity.JournalSyncTime, "messages in a commit", capacity.Seconds)
 	for _, messages := range []int{1, 10, 100} {
@@ -170,7 +172,7 @@
 	return s, nil
 }
 
-// measureCommits returns the seconds of a commit of so many messages.
+// measureCommits returns the seconds per synced commit of the given number of messages.
 func measureCommits(folder string, messages int) (seconds float64, err error) {
 	options := journal.Options{Limit: syncJournalBytes, Sync: store.SyncCommit, MaxBodyBytes: 1}
 	j, _, err := openJournal(folder, options)
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,9 +1,10 @@
-// Command capacity tells what a fleet of the design target needs of each of its parts (docs/CAPACITY.md).
+// Command capacity computes what a fleet of the design target requires of each of its components (docs/CAPACITY.md).
 //
 //	capacity [measure] [flags]   measures costs at three sizes or more, stores them, and writes the tables of the page
 //	capacity tables [flags]      writes the tables from the stored data, or checks that the page has them
 //
-// It starts relays and fakes on loopback. It exits with 0 if all went well, 1 if a check or the command itself failed.
+// To measure, it starts relays, fake endpoints and fake discovery agents on loopback addresses. The exit status is 0 on
+// success and 1 if a check or the command itself failed.
 package main
 
 import (
@@ -25,13 +26,13 @@
 }
 
 func command(ctx context.Context, args []string, s cli.Streams) int {
-	const description = "Tells what a fleet of the size to design for asks of each of its parts."
+	const description = "Computes what a fleet of the design target requires of each of its components."
 	return cli.Run(ctx, "capacity", description, &app{}, args, s, cli.Failed)
 }
 
 type app struct {
-	Version kong.VersionFlag `help:"Print the version and end."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 
-	Measure measureCommand `cmd:"" default:"withargs" help:"Measure, keep the data and write the tables (the default)."`
-	Tables  tablesCommand  `cmd:"" help:"Write the tables from the data, or check them."`
+	Measure measureCommand `cmd:"" default:"withargs" help:"Measure, store data, write tables (the default)."`
+	Tables  tablesCommand  `cmd:"" help:"Write the tables from the stored data, or check them."`
 }
--- a/cmd/capacity/main_test.go
+++ b/cmd/capacity/main_test.go
@@ -18,8 +18,8 @@
 	return status, all.String()
 }
 
-// The command measures a part, stores it, and writes a page that then passes the check. A page that was edited fails
-// it.
+// The command measures selected groups, stores the measurements, and writes a page that then passes the check. A page
+// that was edited fails the check.
 func TestCommands(t *testing.T) {
 	folder := t.TempDir()
 	data, page := filepath.Join(folder, "capacity.json"), filepath.Join(folder, "CAPACITY.md")
@@ -39,10 +39,10 @@
 		{"tables", cli.Failed, "nothing was measured"},
 		{"--quick --only list --dry", cli.OK, "list.whole"},
 		{"tables", cli.Failed, "nothing was measured"},
-		{"--only nothing", cli.Failed, "nothing is measured"},
+		{"--only nothing", cli.Failed, "no group of measurements"},
 		{"--program other", cli.Usage, "program"},
 		{"--quick --only list,journal --commit abc", cli.OK, "wrote"},
-		{"tables --check", cli.OK, "holds what"},
+		{"tables --check", cli.OK, "is up to date"},
 	} {
 		status, out := runCommand(t, append(strings.Fields(c.args), fileFlags...)...)
 		if status != c.status || !strings.Contains(out, c.text) {
@@ -54,19 +54,19 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(generated), "commit abc") {
-		t.Error("the page does not name what was measured")
+		t.Error("the page does not name the measured commit")
 	}
 	edited := strings.Replace(string(generated), "`journal.disk`", "`journal.dust`", 1)
 	if err := os.WriteFile(page, []byte(edited), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if status, out := runCommand(t, append([]string{"tables", "--check"}, fileFlags...)...); status != cli.Failed ||
-		!strings.Contains(out, "does not hold") {
-		t.Errorf("an edited page passes: %d, %s", status, out)
+		!strings.Contains(out, "is not up to date") {
+		t.Errorf("check of an edited page: status %d, want a failure that names it:\n%s", status, out)
 	}
 }
 
-// What is measured without a relay is plausible.
+// The groups that need no relay measure plausible values.
 func TestGroupsWithoutRelay(t *testing.T) {
 	b := &bench{quick: true, folder: t.TempDir(), log: t.Output()}
 	for _, g := range groups()[:3] {
@@ -82,7 +82,8 @@
 	}
 }
 
-// checkSeries checks that a series has values at three sizes, and that memory grows with the size.
+// checkSeries checks that a series has positive values at three sizes or more, and that values in bytes grow with the
+// size.
 func checkSeries(t *testing.T, s capacity.Series) {
 	t.Helper()
 	if len(s.Points) < 3 {
--- a/cmd/capacity/measure.go
+++ b/cmd/capacity/measure.go
@@ -20,18 +20,18 @@
 
 type measureCommand struct {
 	files
-	Quick          bool   `help:"Smaller sizes: a minute or so, for a look."`
-	Program        string `help:"Which program this is: ${enum}." enum:"in force,before" default:"in force"`
-	Relay          string `help:"The relay's program; default: built from this folder." placeholder:"FILE"`
-	Commit         string `help:"Of what is measured; default: this folder's." placeholder:"REV"`
-	AtRest         bool   `help:"The program's module is told of the destinations that are awake alone."`
+	Quick          bool   `help:"Measure smaller sizes, in about a minute."`
+	Program        string `help:"Measured program: ${enum}." enum:"in force,before" default:"in force"`
+	Relay          string `help:"Binary of the relay; default: built from the working directory." placeholder:"FILE"`
+	Commit         string `help:"Measured commit; default: that of the working directory." placeholder:"REV"`
+	AtRest         bool   `help:"The measured program's engine knows only active destinations."`
 	groupSelection `set:"groups=module, journal, list, relay.list, relay.discovery, relay.load, relay.backlog, fleet"`
-	Dry            bool `help:"Show what is measured; keep nothing."`
+	Dry            bool `help:"Print the measurements without storing them."`
 }
 
-// groupSelection selects groups by the beginnings of their names. None selects all.
+// groupSelection selects groups by prefixes of their names. Without a prefix it selects all groups.
 type groupSelection struct {
-	Only []string `help:"Only groups that begin so: ${groups}." placeholder:"GROUP"`
+	Only []string `help:"Measure only groups with this name prefix: ${groups}." placeholder:"GROUP"`
 }
 
 func (s groupSelection) groups() (selected []group) {
@@ -45,13 +45,13 @@
 }
 
 const (
-	// relayPrefix begins the names of groups that need the relay's program.
+	// relayPrefix is the name prefix of the groups that need the relay's binary.
 	relayPrefix = "relay."
-	// relayPackage is built for them.
+	// relayPackage is the package from which the relay's binary is built.
 	relayPackage = "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle"
 )
 
-// group is series that are measured together.
+// group is a set of series that are measured together.
 type group struct {
 	name    string
 	measure func(context.Context, *bench) ([]capacity.Series, error)
@@ -70,15 +70,15 @@
 	}
 }
 
-// bench is what measurements are made with.
+// bench is the environment of the measurements.
 type bench struct {
-	quick  bool
-	relay  string // the relay's program
-	folder string // for files of the measurements
+	quick  bool   // measure smaller sizes
+	relay  string // path of the relay's binary
+	folder string // for temporary files of the measurements
 	log    io.Writer
 }
 
-// sizes returns the sizes of a series.
+// sizes returns the quick or the full sizes of a series, depending on b.quick.
 func (b *bench) sizes(quick, full []int) []int {
 	if b.quick {
 		return quick
@@ -87,10 +87,11 @@
 }
 
 func (b *bench) logf(format string, args ...any) {
-	_, _ = fmt.Fprintf(b.log, format+"\n", args...) // There is nowhere else to report it.
+	_, _ = fmt.Fprintf(b.log, format+"\n", args...) // There is nowhere else to report a failure to write the log.
 }
 
-// Run measures, and stores the result unless the run is dry.
+// Run measures the selected groups and prints the results. Unless the run is dry, it also stores the results and writes
+// the page.
 func (c *measureCommand) Run(ctx context.Context, s *cli.Streams) (err error) {
 	data, err := c.load()
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 	selected := c.groups()
 	if len(selected) == 0 {
-		return fmt.Errorf("nothing is measured under %q", c.Only)
+		return fmt.Errorf("no group of measurements begins with any of %q", c.Only)
 	}
 	folder, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -122,6 +123,7 @@
 	return c.store(data, run, s)
 }
 
+// buildRelay builds the relay's binary in b.folder and sets b.relay.
 func (b *bench) buildRelay(ctx context.Context) error {
 	b.relay = filepath.Join(b.folder, "cherrytrestle")
 	build := exec.CommandContext(ctx, "go", "build", "-o", b.relay, relayPackage)
@@ -132,6 +134,7 @@
 	return nil
 }
 
+// measure measures the selected groups, one after the other.
 func (c *measureCommand) measure(ctx context.Context, b *bench, selected []group) (capacity.Run, error) {
 	run := capacity.Run{
 		Program:    capacity.Program(c.Program),
@@ -158,10 +161,11 @@
 	return run, nil
 }
 
+// printModels prints the points of each series and the linear model fitted to them, over size n.
 func printModels(out io.Writer, run capacity.Run) error {
 	printer := cli.NewPrinter(out)
 	for _, s := range run.Series {
-		line := "no line"
+		line := "no linear model"
 		if m, err := capacity.Fit(s); err == nil {
 			line = fmt.Sprintf("%.4g + %.4g n, residual %.1f %%", m.Intercept, m.Slope, 100*m.Residual)
 		}
@@ -183,7 +187,7 @@
 	return (&tablesCommand{files: c.files}).Run(s)
 }
 
-// currentCommit returns that of the working directory.
+// currentCommit returns the commit of the working directory, or "unknown" if git does not report one.
 func currentCommit(ctx context.Context) string {
 	out, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
@@ -192,7 +196,7 @@
 	return strings.TrimSpace(string(out))
 }
 
-// machine describes the computer that measures. Its memory is 0 if the kernel does not tell it.
+// machine describes the machine on which the measurements run. Its memory is 0 if the kernel does not report it.
 func machine() capacity.Machine {
 	m := capacity.Machine{Cores: runtime.NumCPU(), Go: runtime.Version()}
 	var info syscall.Sysinfo_t
--- a/cmd/capacity/relay.go
+++ b/cmd/capacity/relay.go
@@ -19,26 +19,28 @@
 
 const (
 	relayName = "n0"
-	// defaultMemoryMB is the memory limit of a relay that is given none. The garbage collector goes by it.
+	// defaultMemoryMB is the memory limit of a relay whose configuration has none. The garbage collector of the relay
+	// uses it as its target.
 	defaultMemoryMB = 192
-	// backlogMemoryMB is a limit with room for a backlog in memory.
+	// backlogMemoryMB is a memory limit that is large enough for a backlog.
 	backlogMemoryMB = 4096
-	// startupTimeout is more than a restart may take.
+	// startupTimeout bounds the time until a starting relay is ready, and until a change is in effect. A restart must
+	// take less.
 	startupTimeout = 15 * time.Second
 	readyInterval  = 2 * time.Millisecond // between two health checks of a starting relay
-	// settleTime passes after a start before a relay without load is measured.
+	// settleTime is the wait between the start of a relay and the measurement without load.
 	settleTime = time.Second
 )
 
-// errTimeout tells of a relay that was not ready by startupTimeout, or had not followed a change by then.
-var errTimeout = errors.New("not ready")
+// errTimeout means that a relay was not ready within startupTimeout or did not apply changes of its endpoints in time.
+var errTimeout = errors.New("the relay was not ready or did not apply a change in time")
 
-// relayOptions are how a relay is started.
+// relayOptions are the options for starting a relay.
 type relayOptions struct {
-	endpoints []fake.ListedEndpoint // that discovery lists
-	known     bool                  // the configuration has the endpoints, too
-	memoryMB  int
-	// prepare writes into the state folder before the start. It may be nil.
+	endpoints []fake.ListedEndpoint // listed by discovery
+	known     bool                  // the relay's configuration contains the endpoints, too
+	memoryMB  int                   // memory limit of the relay
+	// prepare writes files to the state folder before the relay starts. It may be nil.
 	prepare func(stateFolder string) error
 }
 
@@ -51,8 +53,8 @@
 	startupTime time.Duration
 }
 
-// startRelay starts a relay and waits until it is ready. If it is not ready in time, the relay is stopped and the error
-// is an errTimeout.
+// startRelay starts a relay and waits until it is ready. If the relay is not ready within startupTimeout, it is stopped
+// and the error is an errTimeout.
 func (b *bench) startRelay(ctx context.Context, options relayOptions) (*relay, error) {
 	folder, err := os.MkdirTemp(b.folder, "relay")
 	if err != nil {
@@ -80,7 +82,7 @@
 	return fake.NewDiscoveryAgent(relayName, recorder, fake.NewWorld(scenario.Plan{}, recorder), endpoints)
 }
 
-// configure prepares the relay's folder, and chooses its address.
+// configure writes the relay's state and configuration to its folder, and chooses an unused address for the relay.
 func (r *relay) configure(options relayOptions) error {
 	state := relayprocess.StateFolder(r.folder)
 	if err := os.Mkdir(state, 0o700); err != nil {
@@ -113,7 +115,8 @@
 	return err
 }
 
-// relaySettings are those of one class of messages whose backlog is not bounded and does not expire.
+// relaySettings returns settings with one class of messages. Its limits on the number and the age of queued messages
+// are so high that no measured backlog reaches them.
 func relaySettings() map[string]any {
 	settings := relayprocess.BaseSettings()
 	settings[relayprocess.BoundsSetting].(map[string]any)["open_cap"] = 5_000_000
@@ -122,6 +125,7 @@
 	return settings
 }
 
+// unusedAddr returns a loopback address with a port that was unused during the call.
 func unusedAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +134,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// launch starts the process and waits until it is ready.
+// launch starts the relay's process and waits until the relay is ready.
 func (r *relay) launch(ctx context.Context, program string) (err error) {
 	log, err := os.Create(filepath.Join(r.folder, "log"))
 	if err != nil {
@@ -153,6 +157,7 @@
 	return r.awaitReady(ctx, began)
 }
 
+// awaitReady waits until the relay is ready and sets startupTime, the time since began.
 func (r *relay) awaitReady(ctx context.Context, began time.Time) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for !relayprocess.Ready(client, r.addr) {
@@ -165,12 +170,12 @@
 	return nil
 }
 
-// stop kills the relay, and removes everything that belongs to it.
+// stop kills the relay's process, closes its discovery agent and removes its folder.
 func (r *relay) stop() error {
 	var err error
 	if r.cmd != nil {
 		err = r.cmd.Process.Kill()
-		_ = r.cmd.Wait() // It tells of the signal.
+		_ = r.cmd.Wait() // The error reports the signal of Kill.
 	}
 	if errors.Is(err, os.ErrProcessDone) {
 		err = nil
@@ -178,7 +183,7 @@
 	return errors.Join(err, r.agent.Close(), os.RemoveAll(r.folder))
 }
 
-// peakMemory returns the most bytes that the relay has had resident.
+// peakMemory returns the peak resident memory of the relay in bytes.
 func (r *relay) peakMemory() (float64, error) {
 	return relayprocess.Memory(r.cmd.Process.Pid, relayprocess.PeakMemory)
 }
@@ -209,8 +214,7 @@
 	}
 }
 
-// isTimeout reports whether a measurement failed because the relay did not get ready in time, and not because it was
-// cancelled.
+// isTimeout reports whether a measurement failed with an errTimeout, and not because ctx was cancelled.
 func isTimeout(ctx context.Context, err error) bool {
 	return errors.Is(err, errTimeout) && ctx.Err() == nil
 }
--- a/cmd/capacity/relay_test.go
+++ b/cmd/capacity/relay_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startTestRelay builds and starts a relay that the test stops at its end.
+// startTestRelay builds and starts a relay, and stops it at the end of the test.
 func startTestRelay(t *testing.T, options relayOptions) *relay {
 	t.Helper()
 	b := &bench{quick: true, folder: t.TempDir(), log: t.Output()}
@@ -25,15 +25,16 @@
 	return r
 }
 
-// A relay with a backlog in its journal becomes ready, delivers what is submitted, and follows a move of a destination.
+// A relay with a backlog in its journal becomes ready, delivers the backlog and new messages, and sends messages to the
+// new address of a destination that has moved.
 func TestRelay(t *testing.T) {
-	here, there := startEndpoints(1), startEndpoints(1)
-	t.Cleanup(here.close)
-	t.Cleanup(there.close)
+	original, alternate := startEndpoints(1), startEndpoints(1)
+	t.Cleanup(original.close)
+	t.Cleanup(alternate.close)
 	endpoints := listedEndpoints(3, closedAddr, stateReady)
 	moving := endpoints[:endpointsPerDestination]
 	for i := range moving {
-		moving[i].Addr = here.addr(0)
+		moving[i].Addr = original.addr(0)
 	}
 	r := startTestRelay(t, relayOptions{
 		endpoints: endpoints,
@@ -42,31 +43,31 @@
 		prepare:   func(stateFolder string) error { return fillJournal(stateFolder, 10, 1) },
 	})
 	if r.startupTime <= 0 || r.startupTime > startupTimeout {
-		t.Errorf("ready after %v", r.startupTime)
+		t.Errorf("startup time %v, want more than 0 and at most %v", r.startupTime, startupTimeout)
 	}
 	if memory, err := r.peakMemory(); err != nil || memory < 1<<20 {
-		t.Errorf("%g bytes, %v", memory, err)
+		t.Errorf("peak memory %g bytes, want at least 1 MiB; error %v", memory, err)
 	}
 	client := &http.Client{Transport: &http.Transport{}, Timeout: submitTimeout}
 	t.Cleanup(client.CloseIdleConnections)
-	took, rejected, err := r.measureMove(t.Context(), client, moving, there, "move")
+	took, rejected, err := r.measureMove(t.Context(), client, moving, alternate, "move")
 	if err != nil || took <= 0 {
-		t.Errorf("moved after %v, %d messages rejected, %v", took, rejected, err)
+		t.Errorf("move in effect after %v, %d messages rejected, error %v", took, rejected, err)
 	}
 	if cpu, err := r.cpuDuring(func() error { return sleep(t.Context(), time.Millisecond) }); err != nil || cpu < 0 {
-		t.Errorf("used %v, %v", cpu, err)
+		t.Errorf("processor time %v, error %v", cpu, err)
 	}
-	for deadline := time.Now().Add(startupTimeout); here.calls.Load() < 1; time.Sleep(readyInterval) {
+	for deadline := time.Now().Add(startupTimeout); original.calls.Load() < 1; time.Sleep(readyInterval) {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing of the backlog is delivered")
+			t.Fatal("no message of the backlog was delivered")
 		}
 	}
 }
 
-// A program that cannot be started is an error, and no timeout.
+// If the relay's binary does not exist, startRelay returns an error that is no timeout.
 func TestRelayThatDoesNotStart(t *testing.T) {
 	b := &bench{folder: t.TempDir(), relay: "/nonexistent", log: t.Output()}
 	if r, err := b.startRelay(t.Context(), relayOptions{}); err == nil || isTimeout(t.Context(), err) {
-		t.Errorf("%v, %v", r, err)
+		t.Errorf("relay %v, error %v; want an error that is no timeout", r, err)
 	}
 }
--- a/cmd/capacity/relaybacklog.go
+++ b/cmd/capacity/relaybacklog.go
@@ -8,7 +8,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
 )
 
-// measureRelayBacklog measures a restart with messages in the journal.
+// measureRelayBacklog measures the start of a relay with messages in its journal: the time until the relay is ready and
+// its peak memory.
 func measureRelayBacklog(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	memory := newSeries(capacity.RelayBacklogMemory, "messages held", capacity.Bytes)
 	recovery := newSeries(capacity.RelayRecoveryTime, "messages held", capacity.Seconds)
@@ -42,7 +43,7 @@
 	return collect(memory, recovery), nil
 }
 
-// settledPeakMemory returns the peak memory a while after the start.
+// settledPeakMemory waits for settleTime and returns the relay's peak memory in bytes.
 func (r *relay) settledPeakMemory(ctx context.Context) (float64, error) {
 	if err := sleep(ctx, settleTime); err != nil {
 		return 0, err
--- a/cmd/capacity/relaylist.go
+++ b/cmd/capacity/relaylist.go
@@ -13,26 +13,27 @@
 
 const (
 	idleTime = 2 * time.Second // over which a relay without load is measured
-	// maxIdleCores is the idle use above which the cost of a change cannot be told apart.
+	// maxIdleCores is the processor use of a relay without load, in cores, above which the additional cost of a change
+	// cannot be distinguished.
 	maxIdleCores = 0.5
 
-	measuredDeltas    = 50
-	deltaInterval     = 20 * time.Millisecond
-	deltaPollInterval = 250 * time.Millisecond
-	// idleTolerance is how many cores above its idle use a relay has done with all changes.
+	measuredDeltas    = 50                     // changes of one endpoint each
+	deltaInterval     = 20 * time.Millisecond  // between two changes
+	deltaPollInterval = 250 * time.Millisecond // over which processor use is measured to detect the end of the changes
+	// idleTolerance is the processor use above idle use, in cores, below which a relay has applied all changes.
 	idleTolerance = 0.1
-	deltaTimeout  = 2 * startupTimeout
+	deltaTimeout  = 2 * startupTimeout // from the first change until all are applied
 
 	measuredMoves = 5
-	probeInterval = 2 * time.Millisecond // between two messages that find out whether a move is in effect
-	moveInterval  = 200 * time.Millisecond
-	submitTimeout = 2 * time.Second
+	probeInterval = 2 * time.Millisecond   // between two messages that detect whether a move is in effect
+	moveInterval  = 200 * time.Millisecond // between two moves
+	submitTimeout = 2 * time.Second        // for the answer to a submission
 )
 
-// listMeasurement has the series over the destinations of a relay with known endpoints.
+// listMeasurement has the series over the number of destinations of a relay whose configuration contains the endpoints.
 type listMeasurement struct {
 	bench                                                     *bench
-	here, there                                               *fakeEndpoints // a destination moves between them
+	original, alternate                                       *fakeEndpoints // of the moving destination
 	memory, startupTime, startupCPU, idle, change, changeTime *series
 }
 
@@ -42,8 +43,8 @@
 	}
 	m := &listMeasurement{
 		bench:       b,
-		here:        startEndpoints(1),
-		there:       startEndpoints(1),
+		original:    startEndpoints(1),
+		alternate:   startEndpoints(1),
 		memory:      newDestinationSeries(capacity.RelayMemory, capacity.Bytes),
 		startupTime: newDestinationSeries(capacity.RelayStartupTime, capacity.Seconds),
 		startupCPU:  newDestinationSeries(capacity.RelayStartupCPU, capacity.Seconds),
@@ -61,15 +62,17 @@
 }
 
 func (m *listMeasurement) close() {
-	m.here.close()
-	m.there.close()
+	m.original.close()
+	m.alternate.close()
 }
 
+// series returns all series of the measurement.
 func (m *listMeasurement) series() []*series {
 	return []*series{m.memory, m.startupTime, m.startupCPU, m.idle, m.change, m.changeTime}
 }
 
-// measureRelayList measures a relay with known endpoints, and changes of them.
+// measureRelayList measures a relay whose configuration contains the endpoints: its start, its memory and processor use
+// without load, and changes of endpoints.
 func measureRelayList(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	m := newListMeasurement(b)
 	defer m.close()
@@ -81,10 +84,11 @@
 	return collect(m.series()...), nil
 }
 
-// measure measures a relay of one size. The first destination is at the address of here.
+// measure measures a relay with the given number of destinations. The first destination is at the original address, all
+// others are at an address that refuses connections.
 func (m *listMeasurement) measure(ctx context.Context, destinations int) (err error) {
 	endpoints := listedEndpoints(destinations, closedAddr, stateReady)
-	endpoints[0].Addr, endpoints[1].Addr = m.here.addr(0), m.here.addr(0)
+	endpoints[0].Addr, endpoints[1].Addr = m.original.addr(0), m.original.addr(0)
 	r, err := m.bench.startRelay(ctx, relayOptions{endpoints: endpoints, known: true, memoryMB: defaultMemoryMB})
 	if isTimeout(ctx, err) {
 		for _, s := range m.series() {
@@ -106,14 +110,15 @@
 			return err
 		}
 	}
-	longest, rejected, err := r.measureMoves(ctx, endpoints[:endpointsPerDestination], m.here, m.there)
+	longest, rejected, err := r.measureMoves(ctx, endpoints[:endpointsPerDestination], m.original, m.alternate)
 	if rejected > 0 {
-		m.bench.logf("relay.force at %d: %d hand-ins were not taken within 2 s", destinations, rejected)
+		m.bench.logf("relay.force at %d destinations: %d submissions not accepted within 2 s", destinations, rejected)
 	}
 	return addUnlessTimeout(m.changeTime, destinations, longest.Seconds(), err)
 }
 
-// addUnlessTimeout adds a value that was measured without an error, or a failure where there was an errTimeout.
+// addUnlessTimeout adds the value to the series if err is nil. It adds a failure if err is an errTimeout, and returns
+// any other error.
 func addUnlessTimeout(s *series, size int, value float64, err error) error {
 	switch {
 	case errors.Is(err, errTimeout):
@@ -126,7 +131,8 @@
 	return nil
 }
 
-// measureIdle measures the startup and the relay without load, and returns the cores that it uses then.
+// measureIdle adds the time and processor time of the startup, and the memory and processor use of the relay without
+// load. It returns this processor use in cores.
 func (m *listMeasurement) measureIdle(ctx context.Context, r *relay, destinations int) (cores float64, err error) {
 	startupCPU, err := r.cpu()
 	if err != nil {
@@ -151,9 +157,9 @@
 	return cores, nil
 }
 
-// measureDeltas has discovery change endpoints one after the other, and returns the CPU seconds of one change beyond
-// the relay's idle use. The relay may be slower than the changes: the measurement ends when it is done with all, with
-// an errTimeout if that takes too long.
+// measureDeltas makes discovery change endpoints one after the other, and returns the CPU seconds per change beyond the
+// relay's idle use. The relay may be slower than the changes, so the measurement waits until the relay is idle again.
+// It fails with an errTimeout if the relay is not idle after deltaTimeout.
 func (r *relay) measureDeltas(
 	ctx context.Context,
 	endpoints []fake.ListedEndpoint,
@@ -178,7 +184,8 @@
 	return max(0, busy.Seconds()-idle) / measuredDeltas, nil
 }
 
-// awaitIdle waits until the relay uses hardly more than when it is idle.
+// awaitIdle waits until the relay's processor use is less than idleTolerance above its idle use. It fails with an
+// errTimeout if that takes until deltaTimeout after began.
 func (r *relay) awaitIdle(ctx context.Context, idleCores float64, began time.Time) error {
 	for {
 		used, err := r.cpuDuring(func() error { return sleep(ctx, deltaPollInterval) })
@@ -191,33 +198,35 @@
 	}
 }
 
-// measureMoves has discovery move a destination to and fro between two addresses, and returns the longest time from a
-// move until a message goes to the new one. A relay that is busy with its list may reject messages meanwhile. A move
-// that is not in effect by startupTimeout is an errTimeout.
+// measureMoves makes discovery move a destination back and forth between two addresses, and returns the longest time
+// from a move until a message arrives at the new address. It also returns the number of submissions that failed: a
+// relay that is busy with its endpoint list may reject messages. A move that is not in effect after startupTimeout is
+// an errTimeout.
 func (r *relay) measureMoves(
 	ctx context.Context,
 	endpoints []fake.ListedEndpoint,
-	here, there *fakeEndpoints,
+	current, next *fakeEndpoints,
 ) (longest time.Duration, rejected int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: submitTimeout}
 	defer client.CloseIdleConnections()
 	for i := range measuredMoves {
-		here, there = there, here // The first move goes to where they are not.
+		current, next = next, current // The first move is away from the current address.
 		idPrefix := fmt.Sprintf("move%d", i)
-		took, rejectedNow, err := r.measureMove(ctx, client, endpoints, here, idPrefix)
+		took, rejectedNow, err := r.measureMove(ctx, client, endpoints, current, idPrefix)
 		rejected += rejectedNow
 		if err != nil {
 			return 0, rejected, err
 		}
 		longest = max(longest, took)
-		if err := sleep(ctx, moveInterval); err != nil { // Messages may still be on their way to the old address.
+		if err := sleep(ctx, moveInterval); err != nil { // Calls to the old address may still be in flight.
 			return 0, rejected, err
 		}
 	}
 	return longest, rejected, nil
 }
 
-// measureMove moves a destination, and submits messages to it until one arrives at the new address.
+// measureMove moves a destination to another address, and submits messages to the destination until one arrives there.
+// It returns the time that this took and the number of submissions that failed.
 func (r *relay) measureMove(
 	ctx context.Context,
 	client *http.Client,
@@ -246,8 +255,8 @@
 	return time.Since(began), rejected, nil
 }
 
-// measureRelayDiscovery measures a relay that has its endpoints from discovery alone. After two sizes at which it did
-// not become ready, the larger ones are left out.
+// measureRelayDiscovery measures the startup of a relay that has its endpoints only from discovery. After two sizes at
+// which the relay was not ready in time, the larger sizes are skipped.
 func measureRelayDiscovery(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const maxFailures = 2
 	s := newSeries(capacity.RelayDiscoveryTime, "destinations", capacity.Seconds)
--- a/cmd/capacity/relayload.go
+++ b/cmd/capacity/relayload.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	loadClients      = 64
-	loadEndpoints    = 16
-	loadWarmUpTime   = 5 * time.Second
-	loadTime         = 8 * time.Second
-	quickLoadTime    = 3 * time.Second
-	messageTimeLeft  = 9 * time.Second
-	minDeliveredRate = 0.95 // of the rate that is submitted
+	loadClients      = 64              // clients that submit messages concurrently
+	loadEndpoints    = 16              // addresses over which the listed endpoints are spread
+	loadWarmUpTime   = 5 * time.Second // time under load before the measurement
+	loadTime         = 8 * time.Second // duration of the measurement
+	quickLoadTime    = 3 * time.Second // duration of a quick measurement
+	messageTimeLeft  = 9 * time.Second // from the submission to the deadline of a message
+	minDeliveredRate = 0.95            // fraction of the submitted rate; with less delivered, the size counts as failed
 )
 
-// measureRelayLoad measures messages that are accepted, journaled and delivered: to few destinations, whose connections
-// are reused, and to so many that nearly every call has a new one, as where a relay sees a destination once in minutes.
+// measureRelayLoad measures the processor use of a relay that accepts, journals and delivers messages. One series has
+// few destinations, whose connections are reused. The other has so many destinations that nearly every call needs a new
+// connection, as for a relay that calls each destination only once in several minutes.
 func measureRelayLoad(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const fewDestinations, manyDestinations = 100, 20_000
 	reused := newSeries(capacity.RelayCores, "messages a second", capacity.Cores)
@@ -53,8 +54,8 @@
 	return collect(reused, fresh), nil
 }
 
-// measureLoad submits messages at a rate, and returns how many are delivered per second and the cores that the relay
-// uses.
+// measureLoad submits messages at a rate per second. It returns the number of messages delivered per second and the
+// relay's processor use in cores.
 func (b *bench) measureLoad(ctx context.Context, rate, destinations int) (delivered, cores float64, err error) {
 	endpoints := startEndpoints(loadEndpoints)
 	defer endpoints.close()
@@ -83,17 +84,17 @@
 	}
 	seconds := time.Since(began).Seconds()
 	if n := load.rejected.Load(); n > 0 {
-		b.logf("at %d a second %d messages were not taken", rate, n)
+		b.logf("at %d messages a second, %d submissions were not accepted", rate, n)
 	}
 	return float64(endpoints.calls.Load()-callsBefore) / seconds, cpu.Seconds() / seconds, nil
 }
 
-// load is clients that submit messages to a relay at a rate.
+// load is a set of clients that together submit messages to a relay at a constant rate.
 type load struct {
 	relay        *relay
 	destinations int
 	interval     time.Duration // between two messages of one client
-	rejected     atomic.Int64
+	rejected     atomic.Int64  // submissions that were not accepted
 	cancel       context.CancelFunc
 	clients      sync.WaitGroup
 }
@@ -112,13 +113,14 @@
 	return l
 }
 
-// end stops all clients.
+// end stops all clients and waits until they have stopped.
 func (l *load) end() {
 	l.cancel()
 	l.clients.Wait()
 }
 
-// runClient submits messages until ctx is done. The clients begin one after the other within an interval.
+// runClient submits messages until ctx is done. The starts of the clients are spread evenly over one interval, and so
+// are their messages.
 func (l *load) runClient(ctx context.Context, index int) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: submitTimeout}
 	defer client.CloseIdleConnections()
@@ -141,7 +143,7 @@
 	}
 }
 
-// submit submits a message. An answer other than 202 is an error.
+// submit submits a message to the relay. An answer with a status other than 202 is an error.
 func (r *relay) submit(ctx context.Context, client *http.Client, id string, destination int) error {
 	req, err := relayprocess.Submission{
 		ID:          id,
@@ -156,10 +158,10 @@
 	if err != nil {
 		return err
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // For the connection to be reused. The status alone matters.
+	_, _ = io.Copy(io.Discard, response.Body) // Read the body so that the connection is reused.
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusAccepted {
-		return fmt.Errorf("the relay answers %s", response.Status)
+		return fmt.Errorf("the relay answered the submission of message %q with status %s", id, response.Status)
 	}
 	return nil
 }
--- a/cmd/capacity/series.go
+++ b/cmd/capacity/series.go
@@ -2,7 +2,7 @@
 
 import "cherrytrestle.example/cherrytrestle/internal/capacity"
 
-// series is a series that is being measured.
+// series is a capacity.Series to which points are added during the measurement.
 type series struct {
 	capacity.Series
 }
@@ -15,12 +15,12 @@
 	s.Points = append(s.Points, capacity.Point{Size: float64(size), Value: value})
 }
 
-// addFailure notes a size at which the measured operation did not complete.
+// addFailure adds a size at which the measured operation did not complete.
 func (s *series) addFailure(size int) {
 	s.Points = append(s.Points, capacity.Point{Size: float64(size), Failed: true})
 }
 
-// collect returns the series as they are stored.
+// collect converts series to the form in which they are stored.
 func collect(all ...*series) []capacity.Series {
 	collected := make([]capacity.Series, 0, len(all))
 	for _, s := range all {
--- a/cmd/capacity/tables.go
+++ b/cmd/capacity/tables.go
@@ -10,13 +10,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 )
 
-// files are the stored measurements and the page that is made of them.
+// files are the paths of the stored measurements and of the page whose tables are computed from them.
 type files struct {
-	Data string `help:"What was measured." default:"docs/capacity.json" placeholder:"FILE"`
-	Page string `help:"The page with the tables." default:"docs/CAPACITY.md" placeholder:"FILE"`
+	Data string `help:"File with the stored measurements." default:"docs/capacity.json" placeholder:"FILE"`
+	Page string `help:"Page that contains the tables." default:"docs/CAPACITY.md" placeholder:"FILE"`
 }
 
-// load reads the measurements. Without a file there are none.
+// load reads the stored measurements. If the file does not exist, there are none.
 func (f files) load() (capacity.Data, error) {
 	data, err := os.ReadFile(f.Data)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +32,7 @@
 	return d, nil
 }
 
-// generate returns the page as it is, and with the tables that the data gives.
+// generate returns the current text of the page, and the text with the tables computed from the data.
 func (f files) generate(d capacity.Data) (current, generated string, err error) {
 	page, err := os.ReadFile(f.Page)
 	if err != nil {
@@ -48,10 +48,10 @@
 
 type tablesCommand struct {
 	files
-	Check bool `help:"Write nothing: fail where the page does not hold what the data gives."`
+	Check bool `help:"Write nothing; fail if the tables of the page are not those of the stored data."`
 }
 
-// Run writes the tables, or checks them.
+// Run writes the tables to the page, or checks that the page has them.
 func (c *tablesCommand) Run(s *cli.Streams) error {
 	d, err := c.load()
 	if err != nil {
@@ -62,10 +62,10 @@
 	case err != nil:
 		return err
 	case current == generated:
-		_, err := fmt.Fprintf(s.Out, "%s holds what %s gives\n", c.Page, c.Data)
+		_, err := fmt.Fprintf(s.Out, "%s is up to date with %s\n", c.Page, c.Data)
 		return err
 	case c.Check:
-		return fmt.Errorf("%s does not hold what %s gives: run capacity tables", c.Page, c.Data)
+		return fmt.Errorf("%s is not up to date with %s: run capacity tables", c.Page, c.Data)
 	}
 	if _, err := fmt.Fprintf(s.Out, "wrote %s\n", c.Page); err != nil {
 		return err
