--- a/internal/simulation/modelcheck/check.go
+++ b/internal/simulation/modelcheck/check.go
@@ -10,20 +10,20 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// defaultMaxStates bounds the memory of a search: 8 bytes are kept of each visited state, and the states of two levels
-// whole.
+// defaultMaxStates bounds the memory of a search, which keeps an 8-byte hash of each visited state, and the states
+// of two levels as a whole.
 const defaultMaxStates = 4 << 20
 
-// Options of a search.
+// Options configure a search.
 type Options struct {
-	Mutant          *emulate.Mutant // nil: the engine as it is
-	MaxDepth        int             // moves on a path; 0: the model's
-	MaxStates       int             // 0: 4 million
-	Workers         int             // 0: one for each core
+	Mutant          *emulate.Mutant // nil: the unchanged engine
+	MaxDepth        int             // maximum number of moves on a path; 0: Model.MaxDepth
+	MaxStates       int             // maximum number of visited states; 0: 4 million
+	Workers         int             // number of goroutines; 0: GOMAXPROCS
 	SkipRandomWalks bool
 }
 
-// withDefaults fills in what is not set.
+// withDefaults replaces zero values by their defaults.
 func (o Options) withDefaults(model *Model) Options {
 	if o.MaxDepth == 0 {
 		o.MaxDepth = model.MaxDepth
@@ -37,35 +37,36 @@
 	return o
 }
 
-// Violation is an invariant that a path violates.
+// Violation describes how a path violates an invariant.
 type Violation struct {
 	Rule   checker.Rule `json:"rule"`
 	Detail string       `json:"text"`
 }
 
-// Result is what a search found.
+// Result is the outcome of a search.
 type Result struct {
 	Model       string
-	States      int  // distinct ones
-	Transitions int  // moves played
-	RandomWalks int  // played after the search
-	Depth       int  // to which all paths were played
-	Complete    bool // all reachable states were visited: no path is longer than Depth
-	Truncated   bool // the search ended early: too many states, or its context was done
+	States      int  // distinct states visited
+	Transitions int  // moves played from any state
+	RandomWalks int  // random walks played after the search
+	Depth       int  // number of moves up to which every path was explored
+	Complete    bool // every reachable state was visited, each by a path of at most Depth moves
+	Truncated   bool // the search ended early: too many states, or its context was cancelled
 	Violation   *Violation
-	Trace       []Move // to the violation
+	Trace       []Move // moves from the initial state to the violation
 }
 
-// explorer explores the states of one model.
+// explorer searches the states of one model.
 type explorer struct {
 	model    *Model
 	mutant   *emulate.Mutant
-	settings policy.Settings // of the engines
+	settings policy.Settings // settings of all engines, as the mutant changes them
 	visited  visitedSet
 	paths    pathTable
 }
 
-// Check explores the states of a model up to a depth, and stops at the first violation.
+// Check explores the states of a model breadth-first up to a depth, and stops at the first violation. A search that
+// ends at that depth is followed by the model's random walks, unless opts.SkipRandomWalks is set.
 func Check(ctx context.Context, model *Model, opts Options) (Result, error) {
 	x, root, err := newExplorer(model, opts.Mutant)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return result, ctx.Err()
 }
 
-// newExplorer returns an explorer and the initial state, in which each relay has received the endpoints.
+// newExplorer returns an explorer and the initial state, in which each relay has received the endpoint list.
 func newExplorer(model *Model, mutant *emulate.Mutant) (*explorer, *state, error) {
 	x := &explorer{model: model, mutant: mutant, settings: model.Settings}
 	x.settings.Classes = slices.Clone(x.settings.Classes)
--- a/internal/simulation/modelcheck/counterexample_test.go
+++ b/internal/simulation/modelcheck/counterexample_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
-// checkReplay checks that a counterexample, kept and read again, leads to the violation with its mutant and to none
-// with the engine as it is.
+// checkReplay stores a result as a counterexample and reads it again. The replay leads to the same violation with
+// the mutant, and to none with the unchanged engine.
 func checkReplay(t *testing.T, modelName, mutantName string, result Result) {
 	t.Helper()
 	found := Counterexample{Model: modelName, Mutant: mutantName, Rule: result.Violation.Rule, Moves: result.Trace}
@@ -31,18 +31,19 @@
 	}
 	counterexample.Mutant = ""
 	if v, err := counterexample.Replay(); err == nil && v != nil {
-		t.Errorf("the engine as it is violates %s", v.Rule)
+		t.Errorf("the unchanged engine violates %s", v.Rule)
 	}
 }
 
-// storedCounterexample is a file as operators keep it: its keys and the kinds of moves stay as they are.
+// storedCounterexample is the content of a file that operators may have stored. Its keys and the kinds of moves must
+// not change.
 const storedCounterexample = `{"world":"repeats","mutant":"unsafe-repeated","rule":"no effect happens twice",` +
 	`"moves":[{"kind":"hand in"},{"kind":"hand in"},{"kind":"a call ends","n":1,"choice":1}]}`
 
-// storedTrace is its trace.
-const storedTrace = `        0s  message 1 is handed in to relay 0; relay 0 sends message 1 to a
-        0s  message 2 is handed in to relay 0; relay 0 sends message 2 to b
-        0s  relay 0: the call of message 2 to b ends: broken off; relay 0 sends message 2 to a
+// storedTrace is the trace of storedCounterexample.
+const storedTrace = `        0s  message 1 is submitted to relay 0; relay 0 sends message 1 to a
+        0s  message 2 is submitted to relay 0; relay 0 sends message 2 to b
+        0s  relay 0: the call of message 2 to b ends: connection reset; relay 0 sends message 2 to a
 `
 
 func TestStoredCounterexample(t *testing.T) {
@@ -59,7 +60,7 @@
 	}
 	want := &Violation{
 		Rule:   checker.NoDuplicateEffect,
-		Detail: "at 0s: message 2 must never run twice, may have run, and is sent again",
+		Detail: "at 0s: message 2 is not idempotent, may have run, and is sent again",
 	}
 	if v, err := counterexample.Replay(); err != nil || !reflect.DeepEqual(v, want) {
 		t.Errorf("replayed: %+v, %v", v, err)
@@ -74,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		// Moves that are not enabled are an error, as they may be. What is tested is that nothing panics.
+		// Replay may return an error, since the moves may not be enabled. It must not panic.
 		_, _ = counterexample.Replay()
 	})
 }
--- a/internal/simulation/modelcheck/encode.go
+++ b/internal/simulation/modelcheck/encode.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hash identifies a state in the visited set.
+// hash returns the key of a state in the visited set.
 func (s *state) hash() uint64 {
 	var e encoder
 	s.encode(&e)
 	return xxhash.Sum64(e.bytes)
 }
 
-// encoder writes what a state's future depends on.
+// encoder encodes the parts of a state that determine its successors.
 type encoder struct {
 	bytes []byte
 }
@@ -93,7 +93,7 @@
 	e.bool(m.ended)
 	e.bool(m.endReported)
 	e.bool(m.fromBeforeRestart)
-	e.bool(m.forgotten)
+	e.bool(m.lostByJournal)
 	for _, attempt := range m.possibleRuns {
 		e.int(int64(attempt))
 	}
--- a/internal/simulation/modelcheck/expand.go
+++ b/internal/simulation/modelcheck/expand.go
@@ -5,37 +5,39 @@
 	"sync"
 )
 
-// chunkSize is the number of states that a worker expands at once.
+// chunkSize is the number of states that a worker takes from the frontier at a time.
 const chunkSize = 64
 
-// levelOptions say how a level of the search is expanded.
+// levelOptions configure the expansion of one level of the search.
 type levelOptions struct {
 	workers   int
-	isLast    bool // the successors are not expanded in their turn, and not kept
-	maxStates int  // new ones, before the search is truncated
+	isLast    bool // the successors will not be expanded, so they are not kept
+	maxStates int  // number of new states beyond which the search is truncated
 }
 
-// expandedLevel is the expansion of all states of a frontier.
+// expandedLevel is the result of expanding all states of a frontier.
 type expandedLevel struct {
-	frontier    []*state // the next one
-	states      int      // new ones
-	transitions int
-	violating   *state // the first by the order of the paths
+	frontier    []*state // new states, to expand at the next level
+	states      int      // number of new states, also where they are not kept
+	transitions int      // number of moves played
+	violating   *state   // first violating state, in the order of the frontier; nil: none
 	truncated   bool
 }
 
-// expandedChunk is the expansion of consecutive states of a frontier.
+// expandedChunk is the result of expanding consecutive states of a frontier.
 type expandedChunk struct {
-	successors    []*state // new ones; each still has its predecessor's path step
-	moves         []Move   // that led to them
+	successors    []*state // new states; each still has its predecessor's path step
+	moves         []Move   // the last move to each of the successors
 	states        int
 	transitions   int
 	violating     *state
 	violatingMove Move
 }
 
-// expandLevel plays every enabled move at every state of a frontier. The result does not depend on the number of
-// workers: states are in the order of their paths, and of several violations the first in that order is returned.
+// expandLevel plays every enabled move from every state of a frontier. Chunks are merged in the order of the
+// frontier, and of several violations the first in that order is returned. Unless the level is truncated, the
+// numbers of states and transitions do not depend on the number of workers. A state that several chunks reach keeps
+// the path of the chunk that reached it first, so paths may depend on the scheduling of the workers.
 func (x *explorer) expandLevel(ctx context.Context, frontier []*state, opts levelOptions) expandedLevel {
 	chunks := x.expandChunks(ctx, frontier, opts)
 	var level expandedLevel
@@ -57,16 +59,16 @@
 			successor.pathStep = x.paths.add(successor.pathStep, chunks[i].moves[k])
 			level.frontier = append(level.frontier, successor)
 		}
-		chunks[i] = expandedChunk{} // release it
+		chunks[i] = expandedChunk{} // release its memory
 	}
 	return level
 }
 
-// expandChunks expands a frontier on several workers. It stops early when there are too many states.
+// expandChunks expands a frontier on several workers. It stops early if the level has too many new states.
 func (x *explorer) expandChunks(ctx context.Context, frontier []*state, opts levelOptions) []expandedChunk {
 	chunks := make([]expandedChunk, (len(frontier)+chunkSize-1)/chunkSize)
 	var workers sync.WaitGroup
-	var mu sync.Mutex // guards the following
+	var mu sync.Mutex // guards nextChunk and states
 	nextChunk, states := 0, 0
 	for range opts.workers {
 		workers.Go(func() {
@@ -90,7 +92,7 @@
 	return chunks
 }
 
-// expandChunk expands states one by one.
+// expandChunk plays every enabled move from each of the states.
 func (x *explorer) expandChunk(states []*state, isLast bool) (chunk expandedChunk) {
 	for _, s := range states {
 		for _, move := range x.enabledMoves(s) {
--- a/internal/simulation/modelcheck/fleet_check.go
+++ b/internal/simulation/modelcheck/fleet_check.go
@@ -7,13 +7,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
-// FleetResult is what a search of a fleet's states found. States are counted only by a search without a violation.
+// FleetResult is the outcome of a search of a fleet's states. States is set only if there is no violation.
 type FleetResult struct {
-	States      int // distinct ones
-	Transitions int // moves played
-	Complete    bool
+	States      int         // distinct states visited
+	Transitions int         // moves played from any state
+	Complete    bool        // every reachable state was visited
 	Violation   string      // "": none
-	Trace       []FleetMove // to the violation
+	Trace       []FleetMove // moves from the initial state to the violation
 }
 
 // fleetSearch is a breadth-first search of a fleet's states.
@@ -24,8 +24,8 @@
 	result  FleetResult
 }
 
-// CheckFleet explores the states of a fleet up to the model's depth, and stops at the first violation, whose trace has
-// the fewest moves. The members have the faults of a mutant, if there are any.
+// CheckFleet explores the states of a fleet breadth-first up to the model's depth. It stops at the first violation,
+// whose trace has the fewest moves. The faults are those of every member; the zero value is none.
 func CheckFleet(ctx context.Context, model FleetModel, faults emulate.LinkFaults) (FleetResult, error) {
 	search := &fleetSearch{
 		model:   &model,
@@ -56,8 +56,8 @@
 	return search.result, nil
 }
 
-// replay returns the state that a path leads to. Agents and tables cannot be copied, so that each state is reached by
-// its whole path.
+// replay returns the state that a path leads to. Agents and tables cannot be copied, so each state is reached by
+// playing its whole path.
 func (s *fleetSearch) replay(path []FleetMove) *fleetState {
 	f := newFleetState(s.model, s.faults)
 	for _, move := range path {
@@ -66,8 +66,8 @@
 	return f
 }
 
-// expand plays the moves that are enabled at a path's end, up to the first violation, and returns the paths to new
-// states.
+// expand plays the moves that are enabled at a path's end, checks the state and the convergence after each of them,
+// and returns the paths to new states. It stops at the first violation.
 func (s *fleetSearch) expand(path []FleetMove, moves []FleetMove) (longer [][]FleetMove) {
 	for _, move := range moves {
 		extended := append(slices.Clone(path), move)
--- a/internal/simulation/modelcheck/fleet_check_test.go
+++ b/internal/simulation/modelcheck/fleet_check_test.go
@@ -15,8 +15,9 @@
 	return result
 }
 
-// In all orders of a few publishes, a loss, a duplicate, a restart with and without the generation, a pause and a time
-// step no member goes back to an earlier report or holds one to be younger than it is, and all agree in the end.
+// The fleet is searched over all orders of a few publishes with a loss, a duplicate, a restart with or without the
+// stored generation, a pause and a time step. No member replaces a report by an earlier one or holds one with an age
+// less than its true age, and all members agree in the end.
 func TestFleetKeepsInvariants(t *testing.T) {
 	model := SmallFleet
 	model.MaxDepth = 4
@@ -29,19 +30,25 @@
 		minStates int
 	}{
 		{"three members", model, 1000},
-		{"two processes of one name", twoProcessesOfOneName, 300},
+		{"two processes under one name", twoProcessesOfOneName, 300},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			result := checkFleet(t, test.model, emulate.LinkFaults{})
 			if result.Violation != "" || result.States < test.minStates {
-				t.Errorf("%d states: %s, by %v", result.States, result.Violation, result.Trace)
+				t.Errorf(
+					"%d states, want at least %d; violation %q by %v",
+					result.States,
+					test.minStates,
+					result.Violation,
+					result.Trace,
+				)
 			}
 			t.Logf("%d states, %d moves", result.States, result.Transitions)
 		})
 	}
 }
 
-// Faulty members are found in a few moves.
+// Each link fault violates an invariant within a few moves.
 func TestFaultyFleetViolatesInvariants(t *testing.T) {
 	model := SmallFleet
 	model.MaxDepth = 5
@@ -50,14 +57,14 @@
 		name   string
 		faults emulate.LinkFaults
 	}{
-		{"a merge that takes the older", emulate.LinkFaults{LastReceivedWins: true}},
-		{"ages that do not grow", emulate.LinkFaults{FrozenAges: true}},
-		{"a stall not noticed", emulate.LinkFaults{NoTransitTime: true}},
+		{"the last received report replaces a newer one", emulate.LinkFaults{LastReceivedWins: true}},
+		{"ages do not grow", emulate.LinkFaults{FrozenAges: true}},
+		{"transit time not added to ages", emulate.LinkFaults{NoTransitTime: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			result := checkFleet(t, model, test.faults)
 			if result.Violation == "" {
-				t.Errorf("not found in %d moves", result.Transitions)
+				t.Errorf("no violation in %d moves", result.Transitions)
 			}
 			t.Logf("%d moves played, %v: %s", result.Transitions, result.Trace, result.Violation)
 		})
--- a/internal/simulation/modelcheck/fleet_invariants.go
+++ b/internal/simulation/modelcheck/fleet_invariants.go
@@ -6,12 +6,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// digestRounds is how often digests are exchanged until all agree: once around, once for members that learn of a later
-// incarnation of their own, and once for what these then publish.
+// digestRounds is the number of digest exchanges until all members agree. The first distributes the reports, the
+// second lets members receive a later incarnation under their own name, and the third distributes what these members
+// then publish.
 const digestRounds = 3
 
-// checkTables checks each member's reports of the others against what was published: none is invented, goes back to an
-// earlier version, or is held to be younger than it is.
+// checkTables checks the reports of other members in each member's table against the published ones. Each must have
+// been published, must not be older than the version that the table held before, and must not have an age less than
+// its true one.
 func (f *fleetState) checkTables() {
 	for _, m := range f.members {
 		m.table.Each(f.now, func(report loadreport.Report) {
@@ -31,14 +33,14 @@
 	switch {
 	case !published:
 		f.violation = fmt.Sprintf(
-			"%s holds version %d of %s, which it never told",
+			"%s holds version %d of %s, which was never published",
 			m.name,
 			version.sequence,
 			report.Name,
 		)
 	case seen && version.before(last):
 		f.violation = fmt.Sprintf(
-			"%s goes back from version %d to %d of %s",
+			"%s replaced version %d by the earlier version %d of %s",
 			m.name,
 			last.sequence,
 			version.sequence,
@@ -46,7 +48,7 @@
 		)
 	case report.Age < age:
 		f.violation = fmt.Sprintf(
-			"%s holds what %s told %v ago to be %v old",
+			"%s holds a report by %s, published %v ago, with an age of only %v",
 			m.name,
 			report.Name,
 			age,
@@ -55,7 +57,7 @@
 	}
 }
 
-// before reports whether a version was published before another one of the same member.
+// before reports whether a version was published before another version of the same member.
 func (v reportVersion) before(other reportVersion) bool {
 	if order := v.incarnation.Compare(other.incarnation); order != 0 {
 		return order < 0
@@ -63,9 +65,9 @@
 	return v.sequence < other.sequence
 }
 
-// checkConvergence has all members publish and exchange digests until all must hold the same of each, its newest
-// report, and checks that they do. Of two processes under one name there is no newest report. The state is of no use
-// afterwards.
+// checkConvergence has all members publish and exchange digests, and checks that each member then holds the newest
+// report of every member. It does nothing if two processes run under one name, since there is no newest report of
+// that name. The state must not be used afterwards.
 func (f *fleetState) checkConvergence() {
 	if f.model.DuplicateName {
 		return
@@ -84,7 +86,7 @@
 	f.checkAgreement()
 }
 
-// exchangeDigests has each member send every other what that lacks.
+// exchangeDigests has each member send every other member the reports that the other one lacks.
 func (f *fleetState) exchangeDigests() {
 	for from, sender := range f.members {
 		for to, receiver := range f.members {
@@ -108,8 +110,8 @@
 	}
 }
 
-// checkAgreement checks that all members hold the newest report of each. Where the last received report wins, they need
-// not.
+// checkAgreement checks that all members hold the newest report of each member. With LastReceivedWins they need not,
+// so it checks nothing.
 func (f *fleetState) checkAgreement() {
 	if f.faults.LastReceivedWins {
 		return
@@ -120,7 +122,7 @@
 			newest := known && report.Incarnation == m.table.Incarnation() && report.Sequence == m.sequence
 			if f.violation == "" && !newest {
 				f.violation = fmt.Sprintf(
-					"after all was exchanged, version %d of %s in life %v is held as %d in %v",
+					"after the digest exchanges, version %d of %s in incarnation %v is held as version %d in %v",
 					m.sequence,
 					m.name,
 					m.table.Incarnation(),
--- a/internal/simulation/modelcheck/fleet_invariants_test.go
+++ b/internal/simulation/modelcheck/fleet_invariants_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
-// Each check of a fleet's state fails for a state that is made to violate it, and holds before.
+// Each check of a fleet's state holds for a converged fleet, and fails after the state is corrupted.
 func TestFleetChecksFail(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -28,13 +28,13 @@
 				}
 			},
 			check:     (*fleetState).checkTables,
-			violation: "m1 holds version 9 of m0, which it never told",
+			violation: "m1 holds version 9 of m0, which was never published",
 		},
 		{
 			name:      "an age that is too small",
 			corrupt:   func(f *fleetState) { f.published["m0"][f.members[1].lastVersions["m0"]] -= time.Second },
 			check:     (*fleetState).checkTables,
-			violation: "m2 holds what m0 told 2.2s ago to be 1.2",
+			violation: "m2 holds a report by m0, published 2.2s ago, with an age of only 1.2",
 		},
 		{
 			name: "an earlier version than before",
@@ -44,13 +44,13 @@
 				f.members[1].lastVersions["m0"] = later
 			},
 			check:     (*fleetState).checkTables,
-			violation: "m1 goes back from version 2 to 1 of m0",
+			violation: "m1 replaced version 2 by the earlier version 1 of m0",
 		},
 		{
 			name:      "a report that does not reach all",
 			corrupt:   func(f *fleetState) { f.members[0].sequence++ },
 			check:     (*fleetState).checkAgreement,
-			violation: "after all was exchanged, version 2 of m0 in life {1 1} is held as 1 in {1 1}",
+			violation: "after the digest exchanges, version 2 of m0 in incarnation {1 1} is held as version 1 in {1 1}",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 			}
 			test.corrupt(f)
 			if test.check(f); !strings.HasPrefix(f.violation, test.violation) {
-				t.Errorf("%q, not %q", f.violation, test.violation)
+				t.Errorf("violation %q, want one that begins with %q", f.violation, test.violation)
 			}
 		})
 	}
--- a/internal/simulation/modelcheck/fleet_state.go
+++ b/internal/simulation/modelcheck/fleet_state.go
@@ -12,59 +12,62 @@
 )
 
 const (
-	// fleetEndpoint is the endpoint that all reports are about.
+	// fleetEndpoint is the ID of the only endpoint, which all reports are about.
 	fleetEndpoint = "r"
-	// fleetEndpointRate is its weight, and the limit of its destination.
+	// fleetEndpointRate is the weight of that endpoint and the limit of its destination, in calls a second.
 	fleetEndpointRate = 10
-	// bootsPerProcess keeps the boot numbers of processes apart that run under one name.
+	// bootsPerProcess is the distance between the boot numbers of successive processes, so that two processes under
+	// one name never have the same one.
 	bootsPerProcess = 100
-	// clockOffset is by how much the clocks of two successive processes differ.
+	// clockOffset is the difference between the clocks of successive processes.
 	clockOffset = time.Hour
 )
 
-// fleetState is a state of a fleet.
+// fleetState is a state of a fleet. It has a member for each process: two of the same name with
+// FleetModel.DuplicateName.
 type fleetState struct {
 	model     *FleetModel
 	faults    emulate.LinkFaults
 	now       time.Duration
 	members   []*memberState
 	inFlight  []datagram
-	published map[string]map[reportVersion]time.Duration // when each version was, by member name
-	remaining FleetBudget
-	violation string // "": none
+	published map[string]map[reportVersion]time.Duration // when each version was published, by member name
+	remaining FleetBudget                                // what is left of FleetModel.Budget
+	violation string                                     // "": none
 }
 
-// datagram carries a report from one process to another.
+// datagram carries a report from one process to another. The processes are given by their indices.
 type datagram struct {
 	from, to    int
 	senderBoot  uint32
-	senderClock time.Duration
+	senderClock time.Duration // the sender's own time when it sent the datagram
 	report      loadreport.Report
 }
 
-// reportVersion identifies a published report among those of its member.
+// reportVersion identifies one of the reports that a member published.
 type reportVersion struct {
 	incarnation loadreport.Incarnation
 	sequence    uint64
 }
 
-// memberState is a process of the fleet.
+// memberState is the state of a process of the fleet.
 type memberState struct {
 	name              string
 	agent             *agent.Agent
-	raisedIncarnation loadreport.Incarnation // that the agent has not been told of
+	raisedIncarnation loadreport.Incarnation // new incarnation, not yet passed to the agent; zero: none
 	table             *loadreport.Table
 	transit           loadreport.TransitEstimator
-	generation        uint64 // in its state directory
-	boot              uint32
-	sequence          uint64 // of its last report
-	publishes         int
+	generation        uint64 // stored in the state directory
+	boot              uint32 // number of starts of the process
+	sequence          uint64 // of the last published report
+	publishes         int    // number of FleetPublish moves
 	paused            bool
-	inbox             []datagram               // that arrived while it is paused
-	lastVersions      map[string]reportVersion // that were in its table, by member name
+	inbox             []datagram               // datagrams that arrived while the process is paused
+	lastVersions      map[string]reportVersion // versions in the table at the last check, by member name
 
-	// Of faulty members. With LastReceivedWins the table numbers reports by receivedCount, and trueVersions has the
-	// versions that they were published as. With FrozenAges reports are forwarded with the ages of receivedAges.
+	// The following fields are used by faulty members. With LastReceivedWins, received reports get receivedCount as
+	// their sequence in the table, and trueVersions holds the versions under which they were published. With
+	// FrozenAges, reports are forwarded with their ages in receivedAges.
 	receivedCount uint64
 	trueVersions  map[string]reportVersion
 	receivedAges  map[string]time.Duration
@@ -72,10 +75,10 @@
 
 func memberName(member int) string { return fmt.Sprintf("m%d", member) }
 
-// processName names a process. Two processes may run under one member's name.
+// processName returns the name of a process for clock calibration. Unlike a member's name, it is unique.
 func processName(process int) string { return fmt.Sprintf("p%d", process) }
 
-// newFleetState returns the initial state: all processes have started and know of each other's clocks.
+// newFleetState returns the initial state, in which all processes have started and calibrated each other's clocks.
 func newFleetState(model *FleetModel, faults emulate.LinkFaults) *fleetState {
 	f := &fleetState{
 		model:     model,
@@ -100,12 +103,14 @@
 	return f
 }
 
-// clock is a process's own monotonic time, far from the others'.
+// clock returns a process's own monotonic time, which differs from that of every other process by clockOffset or
+// more.
 func (f *fleetState) clock(process int) time.Duration {
 	return f.now + time.Duration(process)*clockOffset
 }
 
-// boot starts a process. Of an earlier one its name and generation remain, and how often it booted and published.
+// boot starts a process in place of an earlier one. The new process keeps the name and the publish count, and
+// increments the generation and the boot number.
 func (f *fleetState) boot(process int) {
 	earlier := f.members[process]
 	m := &memberState{
@@ -140,8 +145,8 @@
 	})
 }
 
-// calibrateClocks has a process and all others learn each other's clocks. What a paused process is asked it answers
-// when it resumes.
+// calibrateClocks calibrates the clock of a process with those of all others, in both directions. Paused processes
+// are included: a real one would answer the clock request after it resumes.
 func (f *fleetState) calibrateClocks(process int) {
 	m := f.members[process]
 	for i, other := range f.members {
@@ -150,7 +155,7 @@
 	}
 }
 
-// trueVersion returns the version under which a report of the member's table was published.
+// trueVersion returns the version under which a report in the process's table was published.
 func (m *memberState) trueVersion(report loadreport.Report) reportVersion {
 	if version, renumbered := m.trueVersions[report.Name]; renumbered {
 		return version
@@ -158,14 +163,14 @@
 	return reportVersion{report.Incarnation, report.Sequence}
 }
 
-// asPublished returns a report of the member's table with the version under which it was published.
+// asPublished returns a report of the process's table with the version under which it was published.
 func (m *memberState) asPublished(report loadreport.Report) loadreport.Report {
 	version := m.trueVersion(report)
 	report.Incarnation, report.Sequence = version.incarnation, version.sequence
 	return report
 }
 
-// key identifies the state in the visited set: two paths to states of one key have the same successors.
+// key identifies the state in the visited set. States with equal keys have the same successors.
 func (f *fleetState) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, f.now, f.remaining)
--- a/internal/simulation/modelcheck/fleet_transition.go
+++ b/internal/simulation/modelcheck/fleet_transition.go
@@ -10,10 +10,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// publishInterval is what passes before each report: an agent publishes none more often.
+// publishInterval is the time that passes before each report. It exceeds the minimum time between two reports of an
+// agent.
 const publishInterval = 600 * time.Millisecond
 
-// enabledMoves returns all moves that can be made, always in the same order.
+// enabledMoves returns all moves that are possible in the state, in a fixed order.
 func (f *fleetState) enabledMoves() (moves []FleetMove) {
 	for i, m := range f.members {
 		if m.publishes < f.model.MaxPublishes && !m.paused {
@@ -48,7 +49,7 @@
 	return moves
 }
 
-// apply makes a move, and checks the state that it leads to.
+// apply plays a move and checks the resulting state.
 func (f *fleetState) apply(move FleetMove) {
 	m := f.members[move.Member]
 	switch move.Kind {
@@ -98,7 +99,8 @@
 	m.inbox = nil
 }
 
-// publish has a message come to a process, whose agent publishes a report of it to one other: receivers forward it.
+// publish has a process accept and deliver a message, so that its agent publishes a report. The report is sent to
+// one other process; receivers forward it.
 func (f *fleetState) publish(process int) {
 	m := f.members[process]
 	f.now += publishInterval
@@ -113,7 +115,7 @@
 	})
 	m.raisedIncarnation = loadreport.Incarnation{}
 	if len(output.Published) != 1 || m.table.Restore(f.now, output.Published[0]) != loadreport.Updated {
-		f.violation = fmt.Sprintf("%s does not tell: %v", m.name, output)
+		f.violation = fmt.Sprintf("%s did not publish exactly one valid report: %v", m.name, output)
 		return
 	}
 	report := output.Published[0]
@@ -122,10 +124,10 @@
 	f.send(process, f.nextProcess(process), report.Name)
 }
 
-// nextProcess is the one that a process sends to.
+// nextProcess returns the process to which a process sends its reports.
 func (f *fleetState) nextProcess(process int) int { return (process + 1) % len(f.members) }
 
-// forward sends the report of each other member to a process that is not that member.
+// forward sends the report of each other member to a process that does not run under that member's name.
 func (f *fleetState) forward(process int) {
 	for i := range f.model.Members {
 		about := memberName(i)
@@ -140,7 +142,7 @@
 	}
 }
 
-// send puts the report of a member in flight, if the sender has it.
+// send puts a datagram with the report of a member in flight, if the sender holds that report.
 func (f *fleetState) send(from, to int, name string) {
 	m := f.members[from]
 	report, known := m.table.Get(f.now, name, 0)
@@ -160,14 +162,14 @@
 	})
 }
 
-// takeDatagram removes a datagram from those in flight.
+// takeDatagram removes a datagram from those in flight and returns it.
 func (f *fleetState) takeDatagram(index int) datagram {
 	d := f.inFlight[index]
 	f.inFlight = slices.Delete(f.inFlight, index, index+1)
 	return d
 }
 
-// arrive delivers a datagram, or keeps it for a paused process.
+// arrive delivers a datagram, or puts it into the inbox of a paused process.
 func (f *fleetState) arrive(d datagram) {
 	m := f.members[d.to]
 	if m.paused {
@@ -177,12 +179,14 @@
 	f.receive(d)
 }
 
-// receive merges a report into the receiver's table, and forwards it if it is new.
+// receive merges the report of a datagram into the receiver's table, and forwards a report that is new there.
 func (f *fleetState) receive(d datagram) {
 	m := f.members[d.to]
 	transitTime, known, _ := m.transit.Estimate(processName(d.from), d.senderBoot, d.senderClock, f.now)
 	if !known {
-		return // it would wait until the sender's clock is known; here that never comes
+		// The datagram is from an earlier process of a member that has restarted. This receiver has not calibrated the
+		// clock of that process and never will.
+		return
 	}
 	if f.faults.NoTransitTime {
 		transitTime = 0
@@ -194,7 +198,7 @@
 		m.receivedCount++
 		report.Sequence = m.receivedCount
 	}
-	// A report that is rejected is not merged, which its result says.
+	// The error only gives the reason for the result Rejected, which needs no action.
 	result, _ := m.table.Merge(f.now, report)
 	switch result {
 	case loadreport.Rival:
@@ -210,7 +214,8 @@
 	}
 }
 
-// beginIncarnationPastRival begins an incarnation past the one that was received under the member's name.
+// beginIncarnationPastRival begins a new incarnation, greater than the greatest one received under the member's
+// name.
 func (m *memberState) beginIncarnationPastRival() {
 	m.generation = m.table.Rival().Generation + 1
 	m.raisedIncarnation = loadreport.Incarnation{Generation: m.generation, Boot: m.table.Incarnation().Boot}
--- a/internal/simulation/modelcheck/invariants.go
+++ b/internal/simulation/modelcheck/invariants.go
@@ -10,22 +10,25 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The rules of package checker as invariants. They go by the relays' own times, so that nothing is allowed for sockets.
+// The invariants are the rules of package checker. They are checked against the time at which a relay acts, so that no
+// tolerance for the latency of sockets is needed.
 
 const (
-	// drainGracePeriod is how long a relay may go on calling an endpoint after it observed that it drains.
+	// drainGracePeriod is how long a relay may go on calling an endpoint after it observed that the endpoint drains.
 	drainGracePeriod = time.Second
-	// retryAfterRounding allows for a Retry-After in whole milliseconds.
+	// retryAfterRounding is how much earlier than its end a Retry-After may be taken to be over, since it is sent in
+	// whole milliseconds.
 	retryAfterRounding = time.Millisecond
 )
 
-// checkFinalAnswers checks that no message of a relay is without an end for long after its deadline.
+// checkFinalAnswers checks that the final answer of each message of a relay is reported within finalAnswerGrace of
+// its deadline.
 func (s *state) checkFinalAnswers(relay int) {
 	for _, m := range s.relays[relay].messages {
 		if !m.endReported && s.now > m.deadline+finalAnswerGrace {
 			s.violate(
 				checker.NoMessageLost,
-				"message %d, taken on by relay %d at %v, has no end %v after its time",
+				"message %d, accepted by relay %d at %v, has no final answer %v after its deadline",
 				m.id,
 				relay,
 				m.acceptedAt,
@@ -35,15 +38,15 @@
 	}
 }
 
-// checkReject checks that a message that is rejected, so that its client may submit it again, has not run or may run
-// again.
+// checkReject checks a message that is rejected, so that its client may submit it again: either no call of it may
+// have run, or its class allows it to run again in any zone.
 func (x *explorer) checkReject(s *state, m *messageState) {
 	class := x.class(m.index)
 	repeatable := class.Effect == policy.Idempotent || class.Effect == policy.IdempotentByKey && class.DedupAllZones
 	if m.mayHaveRun && !repeatable {
 		s.violate(
 			checker.NoDuplicateEffect,
-			"message %d is refused, which says that it may come again, though a call may have run",
+			"message %d is rejected, so that it may be submitted again, though a call may have run",
 			m.id,
 		)
 	}
@@ -52,7 +55,7 @@
 // checkSend checks a call that a relay is about to make.
 func (x *explorer) checkSend(s *state, relay int, m *messageState, endpoint policy.Endpoint) {
 	if m.ended {
-		s.violate(checker.NoMessageLost, "message %d is sent after its end", m.id)
+		s.violate(checker.NoMessageLost, "message %d is sent after its final answer", m.id)
 	}
 	if m.mayHaveRun {
 		x.checkRepeat(s, m, endpoint)
@@ -63,23 +66,28 @@
 	}
 }
 
-// checkRepeat checks that a message that may have run may run again at an endpoint.
+// checkRepeat checks that a message that may have run is allowed to run again at an endpoint.
 func (x *explorer) checkRepeat(s *state, m *messageState, endpoint policy.Endpoint) {
 	class := x.class(m.index)
 	switch class.Effect {
 	case policy.NonIdempotent:
 		s.violate(
 			checker.NoDuplicateEffect,
-			"message %d must never run twice, may have run, and is sent again",
+			"message %d is not idempotent, may have run, and is sent again",
 			m.id,
 		)
 	case policy.IdempotentByKey:
 		if late := s.now - m.firstRunAt - class.DedupWindow; late > 0 {
-			s.violate(checker.NoDuplicateEffect, "message %d is repeated %v after its window", m.id, late)
+			s.violate(
+				checker.NoDuplicateEffect,
+				"message %d is sent again %v after its deduplication window",
+				m.id,
+				late,
+			)
 		} else if endpoint.Zone != m.firstRunZone && !class.DedupAllZones {
 			s.violate(
 				checker.NoDuplicateEffect,
-				"message %d may have run in zone %d and is repeated in zone %d",
+				"message %d may have run in zone %d and is sent again in zone %d",
 				m.id,
 				m.firstRunZone,
 				endpoint.Zone,
@@ -88,13 +96,14 @@
 	}
 }
 
-// checkEndpoint checks that an endpoint may be called: it is in service and no Retry-After forbids it.
+// checkEndpoint checks that a relay may call an endpoint: the relay has not observed for longer than
+// drainGracePeriod that the endpoint drains, and no Retry-After forbids the call.
 func (x *explorer) checkEndpoint(s *state, relay int, endpoint policy.Endpoint) {
 	r := &s.relays[relay]
 	if change, drains := r.observed[endpoint.ID]; drains && s.now > change.observedAt+drainGracePeriod {
 		s.violate(
 			checker.DrainRespected,
-			"relay %d sends to %s %v after it was told that it is no longer in service",
+			"relay %d calls %s %v after it observed that the endpoint drains",
 			relay,
 			endpoint.ID,
 			s.now-change.observedAt,
@@ -103,7 +112,7 @@
 	if until := r.retryAfter[x.limitScope(endpoint)]; s.now < until-retryAfterRounding {
 		s.violate(
 			checker.RetryAfterRespected,
-			"relay %d sends to %s %v before the end of a told wait",
+			"relay %d calls %s %v before the end of a Retry-After",
 			relay,
 			endpoint.ID,
 			until-s.now,
@@ -111,7 +120,7 @@
 	}
 }
 
-// checkOrder checks a call against the earlier messages of its ordering key.
+// checkOrder checks that no earlier message of the same ordering key forbids sending a message.
 func (x *explorer) checkOrder(s *state, r *relayState, m *messageState) {
 	for i := range r.messages {
 		earlier := &r.messages[i]
@@ -122,21 +131,21 @@
 		case !earlier.ended:
 			s.violate(
 				checker.OrderKept,
-				"message %d is sent while %d, before it of its key, is unfinished",
+				"message %d is sent while %d, an earlier one of its ordering key, has no final answer",
 				m.id,
 				earlier.id,
 			)
 		case r.hasCall(earlier.id):
 			s.violate(
 				checker.OrderKept,
-				"message %d is sent while a call of %d, before it of its key, is out",
+				"message %d is sent while a call of %d, an earlier one of its ordering key, is in flight",
 				m.id,
 				earlier.id,
 			)
 		case earlier.hasUnknownOutcome && s.now < earlier.unknownOutcomeAt+x.model.Settings.OrderingPause:
 			s.violate(
 				checker.OrderKept,
-				"message %d is sent %v after a call of %d that may still run",
+				"message %d is sent only %v after a call that may still run, of message %d with the same ordering key",
 				m.id,
 				s.now-earlier.unknownOutcomeAt,
 				earlier.id,
@@ -145,14 +154,15 @@
 	}
 }
 
-// sameOrderingKey reports whether two messages must be delivered in order: keys are those of a class.
+// sameOrderingKey reports whether two messages must be delivered in order. Ordering keys of different classes are
+// different keys.
 func (x *explorer) sameOrderingKey(a, b *messageState) bool {
 	messageA, messageB := x.model.Messages[a.index], x.model.Messages[b.index]
 	return messageA.Class == messageB.Class && messageA.Key == messageB.Key
 }
 
-// checkRecovery records a call to the destination after its outage and checks, as package checker does, that relays
-// which knew of the outage do not overload it.
+// checkRecovery records a call to the destination after its outage. It checks, as package checker does, that relays
+// that are informed of the outage do not overload the destination while it warms up.
 func (x *explorer) checkRecovery(s *state, relay int, endpoint policy.Endpoint) {
 	settings := &x.model.Settings
 	windowStart := s.now - settings.OverloadWindow
@@ -175,8 +185,8 @@
 	if calls > budget && float64(callsOfInformed) >= checker.MinInformedRatio*calls {
 		s.violate(
 			checker.RecoveryNotOverloaded,
-			"%.0f calls in %v to a destination that is back since %v and can do %.2f a second, "+
-				"%d of them by relays that saw it fail",
+			"%.0f calls in %v to a destination that recovered %v ago and can serve %.2f a second, "+
+				"%d of them by relays that observed its outage",
 			calls,
 			settings.OverloadWindow,
 			sinceOutage,
@@ -186,7 +196,7 @@
 	}
 }
 
-// callsOfInformedRelays counts the recent calls of relays that knew of the outage.
+// callsOfInformedRelays counts the calls within the overload window that were made by relays informed of the outage.
 func (x *explorer) callsOfInformedRelays(s *state) (calls int) {
 	for _, a := range s.arrivals {
 		if s.relays[a.relay].outageFailures >= max(1, x.model.FailuresToDetect) {
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -7,10 +7,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// invariantTestNow is when the actions of the tests are made.
+// invariantTestNow is the time at which the tests act.
 const invariantTestNow = 10 * time.Second
 
-// ranInZone0 is a message whose first attempt may have run in zone 0, a second ago.
+// ranInZone0 is a message whose first attempt may have run in zone 0 one second before invariantTestNow.
 var ranInZone0 = messageState{
 	id:         1,
 	mayHaveRun: true,
@@ -26,7 +26,7 @@
 	return func(x *explorer, s *state) { x.endMessage(s, 0, policy.Action{Kind: kind, MessageID: 1}) }
 }
 
-// invariantTests have an action or a state that violates an invariant.
+// invariantTests are actions and states that each violate an invariant.
 var invariantTests = []struct {
 	name      string
 	class     int
@@ -37,54 +37,54 @@
 	{
 		name:      "unknown message",
 		act:       sendToB,
-		violation: `at 10s: relay 0 sends message 1 to "b", of which one is not there`,
+		violation: `at 10s: relay 0 sends message 1 to "b": unknown message or endpoint`,
 	},
 	{
-		name:      "sent after its end",
+		name:      "sent after its final answer",
 		message:   messageState{id: 1, ended: true},
 		act:       sendToB,
-		violation: "at 10s: message 1 is sent after its end",
+		violation: "at 10s: message 1 is sent after its final answer",
 	},
 	{
 		name:      "non-idempotent message repeated",
 		class:     classNonIdempotent,
 		message:   ranInZone0,
 		act:       sendToB,
-		violation: "at 10s: message 1 must never run twice, may have run, and is sent again",
+		violation: "at 10s: message 1 is not idempotent, may have run, and is sent again",
 	},
 	{
 		name:      "repeated in another zone",
 		class:     classIdempotentByKey,
 		message:   ranInZone0,
 		act:       sendToB,
-		violation: "at 10s: message 1 may have run in zone 0 and is repeated in zone 1",
+		violation: "at 10s: message 1 may have run in zone 0 and is sent again in zone 1",
 	},
 	{
-		name:      "repeated after its window",
+		name:      "repeated after its deduplication window",
 		class:     classIdempotentByKey,
 		message:   messageState{id: 1, mayHaveRun: true, firstRunAt: invariantTestNow - 3*time.Second},
 		act:       sendToB,
-		violation: "at 10s: message 1 is repeated 1s after its window",
+		violation: "at 10s: message 1 is sent again 1s after its deduplication window",
 	},
 	{
 		name:    "rejected after it may have run",
 		class:   classIdempotentByKey,
 		message: ranInZone0,
 		act:     endWith(policy.Reject),
-		violation: "at 10s: message 1 is refused, which says that it may come again, " +
+		violation: "at 10s: message 1 is rejected, so that it may be submitted again, " +
 			"though a call may have run",
 	},
 	{
-		name:      "ended twice",
+		name:      "two final answers",
 		message:   messageState{id: 1, ended: true},
 		act:       endWith(policy.Fail),
-		violation: "at 10s: message 1 ends twice",
+		violation: "at 10s: message 1 has two final answers",
 	},
 	{
-		name:      "no end in time",
+		name:      "no final answer in time",
 		message:   messageState{id: 1, deadline: invariantTestNow - time.Second},
 		act:       func(_ *explorer, s *state) { s.checkFinalAnswers(0) },
-		violation: "at 10s: message 1, taken on by relay 0 at 0s, has no end 1s after its time",
+		violation: "at 10s: message 1, accepted by relay 0 at 0s, has no final answer 1s after its deadline",
 	},
 	{
 		name:    "draining endpoint called",
@@ -94,7 +94,7 @@
 			s.relays[0].observed["b"] = endpointChange{observedAt: invariantTestNow - 2*time.Second}
 			sendToB(x, s)
 		},
-		violation: "at 10s: relay 0 sends to b 2s after it was told that it is no longer in service",
+		violation: "at 10s: relay 0 calls b 2s after it observed that the endpoint drains",
 	},
 	{
 		name:    "Retry-After ignored",
@@ -104,7 +104,7 @@
 			s.relays[0].retryAfter[""] = invariantTestNow + time.Second
 			sendToB(x, s)
 		},
-		violation: "at 10s: relay 0 sends to b 1s before the end of a told wait",
+		violation: "at 10s: relay 0 calls b 1s before the end of a Retry-After",
 	},
 }
 
@@ -127,7 +127,7 @@
 			}
 			test.act(x, s)
 			if s.violation == nil || s.violation.Detail != test.violation {
-				t.Errorf("%+v, not %q", s.violation, test.violation)
+				t.Errorf("violation %+v, want %q", s.violation, test.violation)
 			}
 		})
 	}
--- a/internal/simulation/modelcheck/models.go
+++ b/internal/simulation/modelcheck/models.go
@@ -23,7 +23,8 @@
 	kindLimitsPerEndpoint
 )
 
-// modelSettings are the settings of all models: short times, so that a short path sees the end of each.
+// modelSettings returns the settings of all models. Deadlines, windows and pauses are short, so that they end within
+// a few moves.
 func modelSettings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
@@ -76,7 +77,8 @@
 	}
 }
 
-// newEndpoints returns endpoints a, b and so on of one destination, one in each of the zones.
+// newEndpoints returns endpoints of one destination, one for each given zone, with the IDs a, b and so on. The
+// weight is each endpoint's capacity in calls a second.
 func newEndpoints(weight float64, zones ...int) (endpoints []policy.Endpoint) {
 	for i, zone := range zones {
 		endpoints = append(endpoints, policy.Endpoint{
@@ -90,7 +92,7 @@
 	return endpoints
 }
 
-// withOwnLimits gives each endpoint rate limits of its own.
+// withOwnLimits gives each endpoint its own rate-limit scope, and returns the endpoints.
 func withOwnLimits(endpoints []policy.Endpoint) []policy.Endpoint {
 	for i := range endpoints {
 		endpoints[i].Kind = kindLimitsPerEndpoint
@@ -98,7 +100,7 @@
 	return endpoints
 }
 
-// newMessages returns a message without an ordering key for each class.
+// newMessages returns one message without an ordering key for each given class.
 func newMessages(classes ...int) (messages []Message) {
 	for _, class := range classes {
 		messages = append(messages, Message{Class: class})
@@ -114,14 +116,14 @@
 	return list
 }
 
-// defaultTimeStep is the time step of most models.
+// defaultTimeStep is the MaxTimeStep of most models.
 const defaultTimeStep = 500 * time.Millisecond
 
 // overloadedWithRetryAfter is the outcome of a call that is rejected with a Retry-After.
 var overloadedWithRetryAfter = CallOutcome{Outcome: policy.Overloaded, RetryAfter: time.Second}
 
-// Models returns the models that come with the program. Their depths are such that the search of all of them takes less
-// than a minute on two cores.
+// Models returns all predefined models. Their depths are such that the search of all of them takes less than a
+// minute on two cores.
 func Models() []Model {
 	return []Model{
 		repeatsModel(),
@@ -150,8 +152,8 @@
 func repeatsModel() Model {
 	return Model{
 		Name: "repeats",
-		Description: "one relay, two zones: an unsafe message, a keyed one, calls that end in any " +
-			"way, a kill",
+		Description: "one relay, two zones: a message with an idempotency key and a non-idempotent one, " +
+			"calls that are reset, cannot connect or return an error, a crash",
 		Rules:       []checker.Rule{checker.NoDuplicateEffect, checker.NoMessageLost},
 		Relays:      1,
 		Settings:    modelSettings(),
@@ -168,8 +170,8 @@
 func windowModel() Model {
 	return Model{
 		Name: "window",
-		Description: "one relay, one zone: a keyed message whose calls break or are refused until its " +
-			"window is over",
+		Description: "one relay, one zone: a message with an idempotency key whose calls are reset or " +
+			"rejected, or cannot connect, until its deduplication window is over",
 		Rules:       []checker.Rule{checker.NoDuplicateEffect},
 		Relays:      1,
 		Settings:    modelSettings(),
@@ -185,7 +187,7 @@
 func orderModel() Model {
 	return Model{
 		Name:              "order",
-		Description:       "one relay: three messages of a key, calls that break or err, a drain",
+		Description:       "one relay: three messages of one ordering key, calls that are reset or err, a drain",
 		Rules:             []checker.Rule{checker.OrderKept},
 		Relays:            1,
 		Settings:          modelSettings(),
@@ -202,8 +204,8 @@
 func waitsModel() Model {
 	return Model{
 		Name: "waits",
-		Description: "two relays, a destination with one wait for both its routes and one with a wait " +
-			"for each: calls that are told to wait",
+		Description: "two relays, a destination whose two endpoints share their rate limits: calls that are " +
+			"rejected with a Retry-After",
 		Rules:       []checker.Rule{checker.RetryAfterRespected},
 		Relays:      2,
 		Settings:    modelSettings(),
@@ -219,7 +221,7 @@
 func drainsModel() Model {
 	return Model{
 		Name:              "drains",
-		Description:       "two relays that learn at different times that both routes of three drain and go",
+		Description:       "two relays that observe the drain and removal of two of three endpoints at different times",
 		Rules:             []checker.Rule{checker.DrainRespected},
 		Relays:            2,
 		Settings:          modelSettings(),
@@ -236,7 +238,7 @@
 func returnModel() Model {
 	return Model{
 		Name:             "return",
-		Description:      "one relay, a destination that fails and comes back cold",
+		Description:      "one relay, a destination that fails and recovers cold",
 		Rules:            []checker.Rule{checker.RecoveryNotOverloaded},
 		Relays:           1,
 		Settings:         modelSettings(),
@@ -253,7 +255,7 @@
 func returnTwoRelaysModel() Model {
 	return Model{
 		Name:             "return-2",
-		Description:      "two relays, a destination that is out at the start and comes back cold",
+		Description:      "two relays, a destination that is in an outage at the start and recovers cold",
 		Rules:            []checker.Rule{checker.RecoveryNotOverloaded},
 		Relays:           2,
 		Settings:         modelSettings(),
@@ -271,8 +273,8 @@
 func returnManyMessagesModel() Model {
 	return Model{
 		Name: "return-many",
-		Description: "two relays with messages enough, a destination that fails and comes back cold; " +
-			"random paths",
+		Description: "two relays, a hundred messages, a destination that fails and recovers cold; " +
+			"mostly random walks",
 		Rules:            []checker.Rule{checker.RecoveryNotOverloaded},
 		Relays:           2,
 		Settings:         modelSettings(),
@@ -292,7 +294,7 @@
 func restartsModel() Model {
 	return Model{
 		Name:        "restarts",
-		Description: "two relays that are killed at any moment, with a message given up on",
+		Description: "two relays that are killed at any time, with a message that may be given up",
 		Rules:       []checker.Rule{checker.NoMessageLost, checker.NoDuplicateEffect},
 		Relays:      2,
 		Settings:    modelSettings(),
@@ -309,7 +311,7 @@
 func separateModel() Model {
 	return Model{
 		Name:        "separate",
-		Description: "two relays, routes that stand apart, a told wait, a drain and a kill together",
+		Description: "two relays, endpoints with their own rate limits: a Retry-After, a drain and a crash together",
 		Rules: []checker.Rule{
 			checker.DrainRespected,
 			checker.RetryAfterRespected,
--- a/internal/simulation/modelcheck/moves.go
+++ b/internal/simulation/modelcheck/moves.go
@@ -2,44 +2,45 @@
 
 import "cherrytrestle.example/cherrytrestle/policy"
 
-// MoveKind is what a move does. The values stand in files of counterexamples.
+// MoveKind is the kind of a move. Its values are stored in counterexample files.
 type MoveKind string
 
-// The kinds of moves. Relay, Index and Outcome are fields of Move.
+// The kinds of moves. Relay, Index and Outcome are the fields of Move.
 const (
 	// MoveSubmit submits the next message to Relay.
 	MoveSubmit MoveKind = "hand in"
-	// MoveFinishCall ends the call Index of Relay with Outcome.
+	// MoveFinishCall ends call Index of Relay with Outcome.
 	MoveFinishCall MoveKind = "a call ends"
-	// MoveAdvanceTime advances the time until something is due, or by the model's time step. All ends of messages have
-	// been reported by then.
+	// MoveAdvanceTime reports the final answers of all ended messages. It then advances the time until something is
+	// due, but by no more than Model.MaxTimeStep.
 	MoveAdvanceTime MoveKind = "time passes"
-	// MoveAcknowledgeNotice acknowledges the final notice of the message Index of Relay, which was not delivered.
+	// MoveAcknowledgeNotice acknowledges the final notice of the undelivered message Index of Relay.
 	MoveAcknowledgeNotice MoveKind = "notice taken"
-	// MoveObserveDraining lets Relay observe that the draining endpoint Index drains.
+	// MoveObserveDraining lets Relay observe that the endpoint Model.DrainingEndpoints[Index] drains.
 	MoveObserveDraining MoveKind = "told: drains"
-	// MoveObserveRemoval lets Relay observe that the draining endpoint Index is removed.
+	// MoveObserveRemoval lets Relay observe that the endpoint Model.DrainingEndpoints[Index] is removed.
 	MoveObserveRemoval MoveKind = "told: gone"
-	// MoveRestart kills Relay and starts it again.
+	// MoveRestart kills Relay and restarts it.
 	MoveRestart MoveKind = "killed"
 	// MoveStartOutage makes the destination fail.
 	MoveStartOutage MoveKind = "outage"
-	// MoveEndOutage lets the destination recover, cold.
+	// MoveEndOutage lets the destination recover cold, with reduced capacity.
 	MoveEndOutage MoveKind = "comes back"
 )
 
-// outageError is the Move.Outcome of a call that fails because of the outage. It is no fault of its own.
+// outageError is the Move.Outcome of a call that fails because of the outage. It does not count towards
+// Model.MaxFaults.
 const outageError = -1
 
 // Move is one transition of a path.
 type Move struct {
 	Kind    MoveKind `json:"kind"`
 	Relay   int      `json:"relay,omitempty"`
-	Index   int      `json:"n,omitempty"`
+	Index   int      `json:"n,omitempty"`      // of a call, a message or a draining endpoint, by Kind
 	Outcome int      `json:"choice,omitempty"` // index in Model.Outcomes, or outageError
 }
 
-// callOutcome returns the outcome that the move gives a call.
+// callOutcome returns the outcome of the call that a MoveFinishCall ends.
 func (m Move) callOutcome(model *Model) CallOutcome {
 	if m.Outcome == outageError {
 		return CallOutcome{Outcome: policy.Error}
@@ -47,7 +48,7 @@
 	return model.Outcomes[m.Outcome]
 }
 
-// enabledMoves returns all moves that can be made at a state, always in the same order.
+// enabledMoves returns all moves that are possible in a state, in a fixed order.
 func (x *explorer) enabledMoves(s *state) []Move {
 	moves := x.submitMoves(s)
 	for relay := range s.relays {
@@ -70,7 +71,8 @@
 	return moves
 }
 
-// submitMoves submit the next message to a relay. One of several interchangeable relays is enough.
+// submitMoves returns the moves that submit the next message, one for each relay. A relay that is interchangeable
+// with relay 0 is left out, since the states that follow would be equivalent.
 func (x *explorer) submitMoves(s *state) (moves []Move) {
 	if s.submitted == len(x.model.Messages) {
 		return nil
@@ -114,7 +116,8 @@
 	return moves
 }
 
-// appendNoticeMoves appends acknowledgements of final notices, which matter only where a relay may still crash.
+// appendNoticeMoves appends the acknowledgements of final notices. They make a difference only while a relay may
+// still be restarted.
 func (x *explorer) appendNoticeMoves(moves []Move, s *state, relay int) []Move {
 	if s.restarts >= x.model.MaxRestarts {
 		return moves
@@ -127,7 +130,8 @@
 	return moves
 }
 
-// canRestart reports whether a relay may crash: only if it has something to lose.
+// canRestart reports whether a relay may be restarted. One without messages and without a Retry-After has nothing to
+// lose.
 func (x *explorer) canRestart(s *state, relay int) bool {
 	r := &s.relays[relay]
 	return s.restarts < x.model.MaxRestarts && (len(r.messages) > 0 || len(r.retryAfter) > 0)
--- a/internal/simulation/modelcheck/mutant.go
+++ b/internal/simulation/modelcheck/mutant.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The hooks of the mutant, if there is one.
+// The following methods apply the hooks of the mutant. Without a mutant they change nothing.
 
 func (x *explorer) changeSettings() {
 	if x.mutant != nil && x.mutant.ChangeSettings != nil {
@@ -15,7 +15,8 @@
 	}
 }
 
-// changeEvent changes an event before the engine has it, and returns by how much it is delayed: negative for ever.
+// changeEvent lets the mutant change an event before the engine receives it. It returns the delay of the event; if
+// that is negative, the event is dropped.
 func (x *explorer) changeEvent(event *policy.Event) (delay time.Duration) {
 	if x.mutant == nil || x.mutant.ChangeEvent == nil {
 		return 0
@@ -24,17 +25,17 @@
 	return x.mutant.ChangeEvent(event)
 }
 
-// allowsAction reports whether an action of the engine, which it may change, is executed.
+// allowsAction reports whether an action of the engine is executed. The mutant may also change the action.
 func (x *explorer) allowsAction(action *policy.Action) bool {
 	return x.mutant == nil || x.mutant.AllowsAction == nil || x.mutant.AllowsAction(action)
 }
 
-// dropsNotice reports whether the final notice of a message is never sent.
+// dropsNotice reports whether the mutant never sends the final notice of a message.
 func (x *explorer) dropsNotice(id policy.MessageID) bool {
 	return x.mutant != nil && x.mutant.DropsNotice != nil && x.mutant.DropsNotice(id)
 }
 
-// forgetsMessage reports whether the journal has lost a message at a restart.
+// forgetsMessage reports whether the mutant's journal has lost a message when its relay restarts.
 func (x *explorer) forgetsMessage(m *messageState, now time.Duration) bool {
 	if x.mutant == nil {
 		return false
--- a/internal/simulation/modelcheck/relay.go
+++ b/internal/simulation/modelcheck/relay.go
@@ -9,13 +9,15 @@
 )
 
 const (
-	// engineStart is an engine's own time when its relay starts. It is not 0, which some engines might take for unset.
+	// engineStart is the time on an engine's own clock when its relay starts. It is not 0, which an engine might
+	// treat as unset.
 	engineStart = time.Second
-	// restartSeedStep is what each restart adds to the seed of a relay's engine: more than there are relays.
+	// restartSeedStep is what each restart adds to the seed of a relay's engine. It exceeds the number of relays, so
+	// that each engine has its own seed.
 	restartSeedStep = 100
 )
 
-// newEngine returns the engine of a relay that starts, in its incarnation.
+// newEngine returns a new engine for an incarnation of a relay.
 func (x *explorer) newEngine(relay, incarnation int) (*policy.Engine, error) {
 	return policy.New(x.settings, uint64(relay+restartSeedStep*incarnation))
 }
@@ -25,7 +27,7 @@
 	r := &s.relays[relay]
 	engine, err := x.newEngine(relay, r.incarnation)
 	if err != nil {
-		return fmt.Errorf("explore: %s: %w", x.model.Name, err)
+		return fmt.Errorf("model %q: start relay %d: %w", x.model.Name, relay, err)
 	}
 	r.epoch = s.now - engineStart
 	x.runEngine(s, relay, engine, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: x.model.Endpoints}})
@@ -33,31 +35,31 @@
 	return nil
 }
 
-// restart kills a relay and starts it again with what its journal holds.
+// restart kills a relay and restarts it with the content of its journal.
 func (x *explorer) restart(s *state, relay int) {
 	r := &s.relays[relay]
 	r.incarnation++
 	engine, err := x.newEngine(relay, r.incarnation)
 	if err != nil {
-		s.violate(checker.NoMessageLost, "relay %d does not start again: %v", relay, err)
+		s.violate(checker.NoMessageLost, "relay %d cannot be restarted: %v", relay, err)
 		return
 	}
 	r.epoch = s.now - engineStart
 	r.timerAt = 0
 	r.calls = nil
 	r.delayed = nil
-	clear(r.retryAfter) // a restart ends a Retry-After
+	clear(r.retryAfter) // a Retry-After does not outlast a restart
 	r.outageFailures = 0
 	events := []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: x.observedEndpoints(r)}}
 	for i := range r.messages {
 		m := &r.messages[i]
 		m.fromBeforeRestart = true
 		if x.forgetsMessage(m, s.now) {
-			m.forgotten = true
+			m.lostByJournal = true
 			continue
 		}
 		if m.ended {
-			continue // only its notice is sent once more
+			continue // its final answer is decided, and only the notice is sent again
 		}
 		events = append(events, x.recoveredEvent(s, m))
 	}
@@ -65,7 +67,7 @@
 	r.engine = engine.Snapshot(nil)
 }
 
-// observedEndpoints returns the endpoints as a relay has observed them.
+// observedEndpoints returns the endpoint list that a relay has observed.
 func (x *explorer) observedEndpoints(r *relayState) (endpoints []policy.Endpoint) {
 	for _, endpoint := range x.model.Endpoints {
 		if change, drains := r.observed[endpoint.ID]; drains {
@@ -79,7 +81,8 @@
 	return endpoints
 }
 
-// recoveredEvent tells an engine of a message from the journal. The outcomes of its calls are unknown now.
+// recoveredEvent returns the event for a message that an engine recovers from the journal. If a call of the message
+// may have run, its outcome is recorded as unknown.
 func (x *explorer) recoveredEvent(s *state, m *messageState) policy.Event {
 	recovered := &policy.RecoveredMessage{
 		Attempts:     m.attempts,
@@ -92,15 +95,15 @@
 	}
 	event := x.acceptedEvent(s, m)
 	event.Recovered = recovered
-	x.changeEvent(&event) // what the journal holds cannot be delayed
+	x.changeEvent(&event) // the delay is ignored: an engine recovers its journal when it starts
 	return event
 }
 
-// deliverEvent gives a relay's engine an event, as far as the mutant lets it through.
+// deliverEvent passes an event to a relay's engine, unless the mutant delays or drops it.
 func (x *explorer) deliverEvent(s *state, relay int, event policy.Event) {
 	delay := x.changeEvent(&event)
 	switch {
-	case delay < 0: // it never arrives
+	case delay < 0: // the event is dropped
 	case delay > 0:
 		r := &s.relays[relay]
 		r.delayed = append(r.delayed, delayedEvent{s.now + delay, event})
@@ -109,18 +112,18 @@
 	}
 }
 
-// stepEngine restores a relay's engine, runs a step and takes its snapshot.
+// stepEngine restores a relay's engine from its snapshot, runs a step and takes a new snapshot.
 func (x *explorer) stepEngine(s *state, relay int, events []policy.Event) {
 	engine, err := policy.Restore(x.settings, s.relays[relay].engine)
 	if err != nil {
-		s.violate(checker.NoMessageLost, "relay %d: its state cannot be put back: %v", relay, err)
+		s.violate(checker.NoMessageLost, "relay %d: the engine cannot be restored from its snapshot: %v", relay, err)
 		return
 	}
 	x.runEngine(s, relay, engine, events)
 	s.relays[relay].engine = engine.Snapshot(nil)
 }
 
-// runEngine runs a step of an engine, executes its actions, and checks them.
+// runEngine runs a step of an engine, and checks and executes its actions.
 func (x *explorer) runEngine(s *state, relay int, engine *policy.Engine, events []policy.Event) {
 	r := &s.relays[relay]
 	for _, action := range engine.Step(s.now-r.epoch, events) {
@@ -138,14 +141,14 @@
 	}
 }
 
-// endMessage gives a message its final answer, other than a delivery.
+// endMessage ends a message that the engine rejects or fails.
 func (x *explorer) endMessage(s *state, relay int, action policy.Action) {
 	m := s.relays[relay].message(action.MessageID)
 	if m == nil {
 		return
 	}
 	if m.ended {
-		s.violate(checker.NoMessageLost, "message %d ends twice", m.id)
+		s.violate(checker.NoMessageLost, "message %d has two final answers", m.id)
 		return
 	}
 	if action.Kind == policy.Reject {
@@ -154,7 +157,7 @@
 	m.ended = true
 }
 
-// send checks a call of a relay and puts it in flight.
+// send checks a call that an engine makes and adds it to the calls in flight.
 func (x *explorer) send(s *state, relay int, action policy.Action) {
 	r := &s.relays[relay]
 	m := r.message(action.MessageID)
@@ -162,7 +165,7 @@
 	if m == nil || endpointIndex < 0 {
 		s.violate(
 			checker.NoMessageLost,
-			"relay %d sends message %d to %q, of which one is not there",
+			"relay %d sends message %d to %q: unknown message or endpoint",
 			relay,
 			action.MessageID,
 			action.Endpoint,
--- a/internal/simulation/modelcheck/state.go
+++ b/internal/simulation/modelcheck/state.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// outagePhase is how far the destination's outage has come.
+// outagePhase is the phase of the destination's outage.
 type outagePhase int
 
 const (
@@ -19,66 +19,68 @@
 	outageOver
 )
 
-// state is a state of a model. It does not change any more once it is in a frontier.
+// state is a state of a model. It is immutable once it is in a frontier.
 type state struct {
 	now         time.Duration
 	relays      []relayState
-	submitted   int // messages
-	faults      int
-	restarts    int
+	submitted   int // number of messages
+	faults      int // calls not delivered that count towards Model.MaxFaults
+	restarts    int // of all relays
 	outage      outagePhase
 	outageStart time.Duration
 	outageEnd   time.Duration
-	arrivals    []arrival // since the outage's end, within the overload window
-	pathStep    int32     // the last of the path that led here
+	arrivals    []arrival // calls since the outage's end, within the overload window
+	pathStep    int32     // index in pathTable of the last move to this state
 	violation   *Violation
 }
 
-// arrival is a call that reached the destination.
+// arrival is a call that reached the destination after its outage.
 type arrival struct {
 	at    time.Duration
 	relay int
 }
 
-// relayState is a relay: its engine, what its journal holds and what it has observed.
+// relayState is the state of a relay: its engine, the content of its journal and what it has observed.
 type relayState struct {
-	engine         []byte        // its snapshot
-	epoch          time.Duration // the engine's time 0
-	incarnation    int
+	engine         []byte        // snapshot of the engine
+	epoch          time.Duration // time at which the engine's clock was 0
+	incarnation    int           // number of restarts
 	timerAt        time.Duration // 0: no timer is set
 	messages       []messageState
-	calls          []callState              // in flight
-	retryAfter     map[string]time.Duration // until when not to call, by rate-limit scope
-	observed       map[string]endpointChange
-	outageFailures int            // consecutive failures by the outage that it observed
-	delayed        []delayedEvent // by a mutant
+	calls          []callState               // in flight
+	retryAfter     map[string]time.Duration  // latest end of a Retry-After, by rate-limit scope
+	observed       map[string]endpointChange // by the ID of the endpoint
+	outageFailures int                       // consecutive calls that failed because of the outage
+	delayed        []delayedEvent            // events that a mutant delays
 }
 
-// endpointChange is what a relay has observed of an endpoint that drains.
+// endpointChange is what a relay has observed of a draining endpoint.
 type endpointChange struct {
-	removed    bool
-	observedAt time.Duration // that it drains
+	removed    bool          // the relay has observed the removal, too
+	observedAt time.Duration // when the relay observed that the endpoint drains
 }
 
-// delayedEvent is an event that a mutant lets its engine have later.
+// delayedEvent is an event that a mutant withholds from the engine until it is due.
 type delayedEvent struct {
 	due   time.Duration
 	event policy.Event
 }
 
-// messageState is a message that a relay accepted.
+// messageState is the state of a message that a relay accepted.
 type messageState struct {
 	id         policy.MessageID
 	index      int // in Model.Messages
 	acceptedAt time.Duration
 	deadline   time.Duration
 	attempts   int
-	ended      bool
-	// endReported says that the client or the platform has learned of the end, so that a restart does not owe it.
+	ended      bool // the message has a final answer
+	// endReported is set when the client or the platform has received the final answer. A restarted relay need not
+	// send it again.
 	endReported bool
-	// forgotten says that a mutant's journal lost the message. The relay owes its end all the same.
-	forgotten bool
-	// fromBeforeRestart exempts the message from the order of its key.
+	// lostByJournal is set when a mutant's journal has lost the message. The final answer is due all the same.
+	lostByJournal bool
+	// fromBeforeRestart is set when the relay restarts. Later messages of the ordering key need not wait for this
+	// one then.
 	fromBeforeRestart bool
 
 	mayHaveRun   bool
@@ -86,8 +88,8 @@
 	firstRunZone int
 	possibleRuns []int // attempts that may have run
 
-	hasUnknownOutcome bool // a call may still be running at the endpoint
-	unknownOutcomeAt  time.Duration
+	hasUnknownOutcome bool          // a call may still be running at the endpoint
+	unknownOutcomeAt  time.Duration // when the relay stopped waiting for that call
 }
 
 // callState is a call in flight.
@@ -103,7 +105,7 @@
 	return relayState{retryAfter: map[string]time.Duration{}, observed: map[string]endpointChange{}}
 }
 
-// message returns the message with an id; nil if the relay has none.
+// message returns the message with an ID; nil if the relay has none.
 func (r *relayState) message(id policy.MessageID) *messageState {
 	i := slices.IndexFunc(r.messages, func(m messageState) bool { return m.id == id })
 	if i < 0 {
@@ -117,20 +119,21 @@
 	return slices.ContainsFunc(r.calls, func(c callState) bool { return c.messageID == id })
 }
 
-// isUntouched reports whether nothing but restarts has happened to a relay.
+// isUntouched reports whether no event but a restart has affected a relay.
 func (r *relayState) isUntouched() bool {
 	return len(r.messages) == 0 && len(r.observed) == 0 && len(r.retryAfter) == 0 && r.outageFailures == 0
 }
 
-// isInterchangeable reports whether two relays are in the same state because nothing has happened to either.
+// isInterchangeable reports whether two relays are in the same state because no event has affected either.
 func (r *relayState) isInterchangeable(other *relayState) bool {
 	return r.isUntouched() && other.isUntouched() && r.incarnation == other.incarnation
 }
 
-// allRelays stands for every relay's index.
+// allRelays stands for the index of every relay.
 const allRelays = -1
 
-// clone copies a state so far that a move at one relay, or at all, does not change the original.
+// clone copies a state so that a move at the given relay, or at any relay if allRelays is given, does not change the
+// original. The copy shares the data of the other relays with the original.
 func (s *state) clone(relay int) *state {
 	c := *s
 	c.relays = slices.Clone(s.relays)
@@ -143,7 +146,7 @@
 	return &c
 }
 
-// unshare replaces what a copied relay shares with the original by copies.
+// unshare replaces the slices and maps that a copied relay shares with the original by copies.
 func (r *relayState) unshare() {
 	r.messages = slices.Clone(r.messages)
 	for i := range r.messages {
@@ -155,7 +158,7 @@
 	r.observed = maps.Clone(r.observed)
 }
 
-// violate records that an invariant is violated. Only the first violation of a state counts.
+// violate records the violation of an invariant. Only the first violation of a state is kept.
 func (s *state) violate(rule checker.Rule, format string, args ...any) {
 	if s.violation == nil {
 		s.violation = &Violation{rule, fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, args...)}
@@ -165,7 +168,7 @@
 // startError returns the violation of an initial state as an error.
 func (s *state) startError() error {
 	if s.violation != nil {
-		return fmt.Errorf("explore: broken at the start: %s", s.violation.Detail)
+		return fmt.Errorf("initial state of the model violates %q: %s", s.violation.Rule, s.violation.Detail)
 	}
 	return nil
 }
--- a/internal/simulation/modelcheck/transition.go
+++ b/internal/simulation/modelcheck/transition.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// finalAnswerGrace is how long after its deadline a message may be without an end.
+// finalAnswerGrace is the time after a message's deadline within which its final answer must be reported.
 const finalAnswerGrace = checker.FinalAnswerTimeout
 
 // successor returns the state that a move leads to.
@@ -69,7 +69,7 @@
 	return x.model.Settings.Classes[x.model.Messages[message].Class]
 }
 
-// acceptedEvent tells an engine of a message.
+// acceptedEvent returns the event for a message that a relay has accepted.
 func (x *explorer) acceptedEvent(s *state, m *messageState) policy.Event {
 	message := x.model.Messages[m.index]
 	return policy.Event{
@@ -121,7 +121,8 @@
 	})
 }
 
-// limitScope names what shares a Retry-After with an endpoint: "" for the whole destination.
+// limitScope returns the rate-limit scope of an endpoint, within which a Retry-After applies: the ID of the
+// endpoint, or "" for the whole destination.
 func (x *explorer) limitScope(endpoint policy.Endpoint) string {
 	if x.model.Settings.DestinationKinds[endpoint.Kind].LimitPerEndpoint {
 		return endpoint.ID
@@ -129,7 +130,7 @@
 	return ""
 }
 
-// endpointIndex returns the index of an endpoint in the model; -1 if it has none of that name.
+// endpointIndex returns the index in Model.Endpoints of an endpoint; -1 if the model has none with that ID.
 func (x *explorer) endpointIndex(id string) int {
 	return slices.IndexFunc(x.model.Endpoints, func(e policy.Endpoint) bool { return e.ID == id })
 }
@@ -148,7 +149,8 @@
 	x.deliverEvent(s, relay, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{endpoint}})
 }
 
-// advanceTime advances the time until something is due, or by the model's time step, and lets happen what is due.
+// advanceTime advances the time until something is due, but by no more than the model's time step, and processes
+// what is due then.
 func (x *explorer) advanceTime(s *state) {
 	next := x.nextDue(s)
 	x.reportEnds(s)
@@ -160,7 +162,8 @@
 	}
 }
 
-// nextDue returns when the next thing is due, if that is within the model's time step, or else the step's end.
+// nextDue returns the next time at which a timer, a timeout, a delayed event or the check of a final answer is due,
+// but at most the end of the model's time step.
 func (x *explorer) nextDue(s *state) time.Duration {
 	next := s.now + x.model.MaxTimeStep
 	consider := func(due time.Duration) {
@@ -186,19 +189,19 @@
 	return next
 }
 
-// reportEnds reports the ends of all messages that ended.
+// reportEnds reports the final answers of all ended messages, except those that a mutant loses.
 func (x *explorer) reportEnds(s *state) {
 	for i := range s.relays {
 		for k := range s.relays[i].messages {
 			m := &s.relays[i].messages[k]
-			if m.ended && !m.forgotten && !x.dropsNotice(m.id) {
+			if m.ended && !m.lostByJournal && !x.dropsNotice(m.id) {
 				m.endReported = true
 			}
 		}
 	}
 }
 
-// expireCalls ends the calls of a relay that have timed out.
+// expireCalls ends a relay's calls that have timed out.
 func (x *explorer) expireCalls(s *state, relay int) {
 	r := &s.relays[relay]
 	for {
@@ -210,7 +213,7 @@
 	}
 }
 
-// deliverDueEvents gives a relay's engine the delayed events that are due, and fires its timer.
+// deliverDueEvents passes the delayed events that are due to a relay's engine, and fires its timer if that is due.
 func (x *explorer) deliverDueEvents(s *state, relay int) {
 	r := &s.relays[relay]
 	var due []policy.Event
--- a/internal/simulation/modelcheck/walk.go
+++ b/internal/simulation/modelcheck/walk.go
@@ -8,11 +8,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 )
 
-// walkSeed makes the random walks of a model the same on each run.
+// walkSeed is the seed of all random walks, so that each run plays the same walks of a model.
 const walkSeed = 1
 
-// walkRandomly plays the model's random walks. Of those that end in a violation the first by its number is shrunk and
-// put into the result.
+// walkRandomly plays the model's random walks. If some of them end in a violation, the one with the lowest number is
+// shrunk and stored in the result.
 func (x *explorer) walkRandomly(ctx context.Context, root *state, workerCount int, result *Result) {
 	violating := make([][]Move, x.model.RandomWalks)
 	var workers sync.WaitGroup
@@ -45,7 +45,7 @@
 	}
 }
 
-// walk plays one random walk, up to a violation.
+// walk plays one random walk, which ends at the first violation.
 func (x *explorer) walk(root *state, number int) (path []Move, violation *Violation) {
 	random := engine.NewRandom(walkSeed, x.model.Name, number)
 	s := root
@@ -64,7 +64,7 @@
 	return path, nil
 }
 
-// shrink leaves moves out of a path for as long as it ends in a violation of the same rule.
+// shrink removes moves from a path one at a time, as long as the path still ends in a violation of the same rule.
 func (x *explorer) shrink(root *state, path []Move) ([]Move, *Violation) {
 	violation := x.violationAtEnd(root, path)
 	for shrunk := true; shrunk; {
@@ -79,8 +79,8 @@
 	return path, violation
 }
 
-// violationAtEnd plays a path and returns the violation by its last move; nil if there is none, if an earlier move
-// violates an invariant, or if a move is not enabled.
+// violationAtEnd plays a path and returns the violation that its last move causes. It returns nil if there is none,
+// if an earlier move violates an invariant, or if a move is not enabled.
 func (x *explorer) violationAtEnd(root *state, path []Move) *Violation {
 	s := root
 	for i, move := range path {
