--- a/internal/simulation/modelcheck/invariants.go
+++ b/internal/simulation/modelcheck/invariants.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// checkEndpoint checks that a relay may call an endpoint: the relay has not observed for longer than
-// drainGracePeriod that the endpoint drains, and no Retry-After forbids the call.
+// checkEndpoint checks that a relay may call an endpoint. It may not once drainGracePeriod has passed since it
+// observed that the endpoint drains, nor before the end of a Retry-After.
 func (x *explorer) checkEndpoint(s *state, relay int, endpoint policy.Endpoint) {
 	r := &s.relays[relay]
 	if change, drains := r.observed[endpoint.ID]; drains && s.now > change.observedAt+drainGracePeriod {
