--- a/internal/simulation/emulate/manyrelays_test.go
+++ b/internal/simulation/emulate/manyrelays_test.go
@@ -362,9 +362,9 @@
 }
 
 // TestManyRelaysWithLateLists: endpoints are replaced in batches and 80 relays restarted, while each change of the
-// endpoint list, including drains, reaches the relays six seconds late. No rule is violated. In particular, no call is sent
-// to an endpoint more than a second after the relay was notified of its drain. Relays that ignore drains violate this
-// rule.
+// endpoint list, including drains, reaches the relays six seconds late. No rule is violated. In particular, no call
+// is sent to an endpoint more than a second after the relay was notified of its drain. Relays that ignore drains
+// violate this rule.
 func TestManyRelaysWithLateLists(t *testing.T) {
 	file := loadExperiment(t, "fleet-roll")
 	file.Relays = 80
