--- a/internal/capacity/bottleneck.go
+++ b/internal/capacity/bottleneck.go
@@ -20,7 +20,7 @@
 
 // String returns the effect as the capacity page prints it.
 func (e Effect) String() string {
-	return [...]string{"stops", "leaves out the rest", "over budget"}[e]
+	return [...]string{"relay unavailable", "excess ignored", "over budget"}[e]
 }
 
 // Bottleneck describes the size on one axis above which a mechanism fails or exceeds its budget.
@@ -94,7 +94,7 @@
 		if l.largest < b.Target {
 			b.Limit = math.NaN()
 		}
-		b.Derivation = fmt.Sprintf("`%s`: none up to %s", name, formatInteger(l.largest))
+		b.Derivation = fmt.Sprintf("`%s`: no failure up to %s", name, formatInteger(l.largest))
 	}
 	return b
 }
@@ -115,7 +115,8 @@
 	b.Limit, b.Derivation = size.value*relays, size.derivation
 	if _, m, err := e.model(name); err == nil && math.IsNaN(b.Limit) && maxExtrapolation*m.MaxSize*relays >= b.Target {
 		b.Limit = math.Inf(1)
-		b.Derivation = fmt.Sprintf("`%s` bends by %.0f %%: none up to ten times the largest measured",
+		b.Derivation = fmt.Sprintf(
+			"`%s` (nonlinear model, residual %.0f %%): budget not reached up to ten times the largest measured size",
 			name, 100*m.Residual)
 	}
 	return b
@@ -130,19 +131,19 @@
 			Description: description,
 		}
 	}
-	published := bottleneck("a relay tells of no further destination at once")
+	published := bottleneck("the load of further destinations is not published")
 	published.Effect, published.Mechanism = DropsExcess, fleetMechanism
-	published.Axis, published.Target = "destinations awake", e.ActiveDestinations()
-	quotas := bottleneck("no further limit is lent")
+	published.Axis, published.Target = "active destinations", e.ActiveDestinations()
+	quotas := bottleneck("further limits are not shared by leases")
 	quotas.Effect, quotas.Mechanism = DropsExcess, quotaMechanism
-	engine := bottleneck("the module alone takes a core")
+	engine := bottleneck("the engine alone uses more than a core")
 	engine.Mechanism = engineMechanism
 
-	discovery := bottleneck("a relay that asks discovery never becomes ready")
-	memory := bottleneck(fmt.Sprintf("the list takes %s", Format(e.ControlPlane.Memory, Bytes)))
-	startup := bottleneck(fmt.Sprintf("a start takes %s", Format(e.MaxStartupTime, Seconds)))
-	idle := bottleneck(fmt.Sprintf("the list at rest takes %s", Format(e.ControlPlane.Cores, Cores)))
-	changes := bottleneck(fmt.Sprintf("%s changes a day take %s",
+	discovery := bottleneck("a relay that loads its list from discovery never becomes ready")
+	memory := bottleneck(fmt.Sprintf("the list uses more than %s", Format(e.ControlPlane.Memory, Bytes)))
+	startup := bottleneck(fmt.Sprintf("a start takes more than %s", Format(e.MaxStartupTime, Seconds)))
+	idle := bottleneck(fmt.Sprintf("an unchanged list uses more than %s", Format(e.ControlPlane.Cores, Cores)))
+	changes := bottleneck(fmt.Sprintf("%s changes per day use more than %s",
 		formatInteger(e.ChangesPerDay), Format(e.ControlPlane.Cores, Cores)))
 
 	memoryWithoutList := e.cost(RelayMemory, 0).value
@@ -165,12 +166,13 @@
 	}
 	budget := e.ControlPlane
 	byteRate := Format(budget.ByteRate, ByteRate)
-	members := bottleneck("a relay with a longer table of members does not start")
-	sent := bottleneck("what a member sends takes " + byteRate)
-	quotas := bottleneck("what a member sends to lend 1,000 limits takes " + byteRate)
-	propagation := bottleneck("what one tells is known to all after " + Format(e.MaxPropagationTime, Seconds))
-	cores := bottleneck("membership takes " + Format(budget.Cores, Cores))
-	memory := bottleneck("membership takes " + Format(budget.Memory, Bytes))
+	members := bottleneck("a relay with a larger member table does not start")
+	sent := bottleneck("a member sends more than " + byteRate)
+	quotas := bottleneck("to lend shares of 1,000 limits, a member sends more than " + byteRate)
+	propagation := bottleneck("a change of one member reaches all members after more than " +
+		Format(e.MaxPropagationTime, Seconds))
+	cores := bottleneck("membership and load reports use more than " + Format(budget.Cores, Cores))
+	memory := bottleneck("membership and load reports use more than " + Format(budget.Memory, Bytes))
 	return []Bottleneck{
 		e.atFailure(members, FleetMaxMembers),
 		e.atCost(sent, FleetByteRate, budget.ByteRate),
@@ -186,14 +188,14 @@
 func (e estimator) loadBottlenecks() []Bottleneck {
 	bottleneck := func(description string) Bottleneck {
 		return Bottleneck{
-			Axis:        "events a second",
+			Axis:        "messages per second",
 			Target:      e.MessageRate,
 			Mechanism:   loopMechanism,
 			Description: description,
 		}
 	}
-	reused := bottleneck("a relay takes a core, connections used again")
-	fresh := bottleneck("a relay takes a core, a connection for each call")
+	reused := bottleneck("a relay uses more than a core with reused connections")
+	fresh := bottleneck("a relay uses more than a core with a new connection for each call")
 	return []Bottleneck{
 		e.atRelayCost(reused, RelayCores, e.RelayCores, e.Relays),
 		e.atRelayCost(fresh, RelayNewConnectionCores, e.RelayCores, e.Relays),
@@ -205,13 +207,13 @@
 		Axis:        "backlog",
 		Target:      e.Backlog,
 		Mechanism:   loopMechanism,
-		Description: fmt.Sprintf("a restart takes %s", Format(e.MaxStartupTime, Seconds)),
+		Description: fmt.Sprintf("a restart takes more than %s", Format(e.MaxStartupTime, Seconds)),
 	}
 	engine := Bottleneck{
 		Axis:        "backlog",
 		Target:      e.Backlog,
 		Mechanism:   engineMechanism,
-		Description: "the module takes a core",
+		Description: "the engine uses more than a core",
 	}
 	return []Bottleneck{
 		e.atRelayCost(recovery, RelayRecoveryTime, e.MaxStartupTime, e.Relays),
@@ -224,24 +226,24 @@
 	delta := e.deltaBytes()
 	cores := Bottleneck{
 		Mechanism:   listMechanism,
-		Description: fmt.Sprintf("they take %s", Format(e.ControlPlane.Cores, Cores)),
+		Description: fmt.Sprintf("the changes use more than %s", Format(e.ControlPlane.Cores, Cores)),
 		Limit:       e.ControlPlane.Cores * secondsPerDay / change.value,
 		Derivation:  change.derivation,
 	}
 	bytes := Bottleneck{
 		Mechanism:   listMechanism,
-		Description: fmt.Sprintf("they take %s", Format(e.ControlPlane.ByteRate, ByteRate)),
+		Description: fmt.Sprintf("the changes use more than %s", Format(e.ControlPlane.ByteRate, ByteRate)),
 		Limit:       e.ControlPlane.ByteRate * secondsPerDay / delta.value,
 		Derivation:  delta.derivation,
 	}
 	propagation := Bottleneck{
-		Description: fmt.Sprintf("not in force everywhere in %s", Format(e.MaxPropagationTime, Seconds)),
+		Description: fmt.Sprintf("a change does not reach all relays within %s", Format(e.MaxPropagationTime, Seconds)),
 		Limit:       math.NaN(),
-		Derivation:  "one relay alone was measured",
+		Derivation:  "measured on one relay only",
 	}
 	all := []Bottleneck{cores, bytes, propagation}
 	for i := range all {
-		all[i].Axis, all[i].Target, all[i].Effect = "changes a day", e.ChangesPerDay, OverBudget
+		all[i].Axis, all[i].Target, all[i].Effect = "changes per day", e.ChangesPerDay, OverBudget
 	}
 	return all
 }
@@ -252,7 +254,7 @@
 		Target:      e.Regions,
 		Limit:       math.NaN(),
 		Effect:      OverBudget,
-		Description: "nothing knows of regions: links between them are taken like any others",
-		Derivation:  "no mechanism, so no value",
+		Description: "regions are not distinguished: links between regions are used like all other links",
+		Derivation:  "not implemented, so no limit is known",
 	}}
 }
--- a/internal/capacity/bottleneck_test.go
+++ b/internal/capacity/bottleneck_test.go
@@ -16,39 +16,39 @@
 		order = append(order, fmt.Sprintf("%s: %s", b.Axis, b.Description))
 	}
 	for description, want := range map[string]float64{
-		"a relay that asks discovery never becomes ready":       100,
-		"the list takes 2 MB":                                   500,
-		"the list at rest takes 5 % of a core":                  2500,
-		"a start takes 10 s":                                    9900,
-		"8,640 changes a day take 5 % of a core":                499_900,
-		"no further limit is lent":                              50,
-		"the module alone takes a core":                         999_000,
-		"a relay with a longer table of members does not start": 50,
-		"what a member sends takes 1 KB/s":                      1000.0 / 140,
-		"a relay takes a core, connections used again":          48_000,
-		"a relay takes a core, a connection for each call":      32_000,
-		"a restart takes 10 s":                                  990_000,
-		"the module takes a core":                               999e6,
-		"they take 5 % of a core":                               0.05 * 86_400 / 1.1e-3,
-		"they take 1 KB/s":                                      576_000,
+		"a relay that loads its list from discovery never becomes ready":    100,
+		"the list uses more than 2 MB":                                      500,
+		"an unchanged list uses more than 5 % of a core":                    2500,
+		"a start takes more than 10 s":                                      9900,
+		"8,640 changes per day use more than 5 % of a core":                 499_900,
+		"further limits are not shared by leases":                           50,
+		"the engine alone uses more than a core":                            999_000,
+		"a relay with a larger member table does not start":                 50,
+		"a member sends more than 1 KB/s":                                   1000.0 / 140,
+		"a relay uses more than a core with reused connections":             48_000,
+		"a relay uses more than a core with a new connection for each call": 32_000,
+		"a restart takes more than 10 s":                                    990_000,
+		"the engine uses more than a core":                                  999e6,
+		"the changes use more than 5 % of a core":                           0.05 * 86_400 / 1.1e-3,
+		"the changes use more than 1 KB/s":                                  576_000,
 	} {
 		if got := limits[description]; !closeTo(got, want) {
 			t.Errorf("%s: limit %g, want %g", description, got, want)
 		}
 	}
 	for i, want := range []string{
-		"destinations: a relay that asks discovery never becomes ready",
-		"relays: a relay with a longer table of members does not start",
-		"destinations: no further limit is lent",
-		"relays: what a member sends takes 1 KB/s",
-		"destinations: the list takes 2 MB",
-		"backlog: a restart takes 10 s",
+		"destinations: a relay that loads its list from discovery never becomes ready",
+		"relays: a relay with a larger member table does not start",
+		"destinations: further limits are not shared by leases",
+		"relays: a member sends more than 1 KB/s",
+		"destinations: the list uses more than 2 MB",
+		"backlog: a restart takes more than 10 s",
 	} {
 		if order[i] != want {
 			t.Errorf("bottleneck %d: %s, want %s", i, order[i], want)
 		}
 	}
-	const want = "a relay that asks discovery never becomes ready"
+	const want = "a relay that loads its list from discovery never becomes ready"
 	if first, ok := FirstBottleneck(all); !ok || first.Description != want {
 		t.Errorf("first bottleneck: %+v, want %s", first, want)
 	}
@@ -91,7 +91,7 @@
 	}
 	for maxSize, want := range map[float64]float64{100: math.Inf(1), 99: math.NaN()} {
 		for _, b := range Bottlenecks(target, nonlinear(maxSize)) {
-			if b.Description == "a start takes 10 s" && !closeTo(b.Limit, want) {
+			if b.Description == "a start takes more than 10 s" && !closeTo(b.Limit, want) {
 				t.Errorf("largest size %g: limit %g, want %g (%s)", maxSize, b.Limit, want, b.Derivation)
 			}
 		}
--- a/internal/capacity/controlplane.go
+++ b/internal/capacity/controlplane.go
@@ -11,16 +11,17 @@
 // quotas.
 func (e estimator) controlPlaneRole() Role {
 	list, fleet := e.listUse(), e.fleetUse()
-	settings := unknown("a relay reads its own file at SIGHUP; nothing takes a change to all of them").
-		figure("settings: in force everywhere", Seconds, noMechanism).
+	settings := unknown("a relay reads its own file at SIGHUP; nothing distributes a change to all relays").
+		figure("settings: time until a change reaches all relays", Seconds, noMechanism).
 		withBudget(e.MaxPropagationTime, controlPlaneBudget)
-	disk := derived(0, "the list is handed over by the platform; "+
-		"the journal keeps hosts' standing, and a number for the fleet's life").figure("disk", Bytes, listMechanism)
-	return Role{"A relay: its control", slices.Concat(
+	disk := derived(0, "the platform passes the list to the relay; "+
+		"the journal stores the health of endpoints, and a small file the generation of the member").
+		figure("disk", Bytes, listMechanism)
+	return Role{"Relay control plane", slices.Concat(
 		[]Figure{
-			e.total("all: processor", Cores, list.changeCores.value+list.knownCores-list.baseCores, fleet.cores.value),
-			e.total("all: memory", Bytes, list.memory.value, fleet.memory.value),
-			e.total("all: bytes", ByteRate, list.deltaRate.value+list.snapshotRate.value, fleet.byteRate.value),
+			e.total("total CPU", Cores, list.changeCores.value+list.knownCores-list.baseCores, fleet.cores.value),
+			e.total("total memory", Bytes, list.memory.value, fleet.memory.value),
+			e.total("total bytes", ByteRate, list.deltaRate.value+list.snapshotRate.value, fleet.byteRate.value),
 		},
 		e.listFigures(list),
 		[]Figure{settings},
@@ -48,18 +49,19 @@
 	change := e.cost(RelayChangeCPU, e.Destinations)
 	delta := e.deltaBytes()
 	snapshot := e.cost(SnapshotBytes, e.Destinations)
-	const withoutList = ", less %s of a relay with no list"
+	const withoutList = ", minus %s of a relay without a list"
 	return listUse{
-		memory:      memory.withValue(memory.value-baseMemory).explained(withoutList, Format(baseMemory, Bytes)),
-		baseCores:   baseCores,
-		knownCores:  idleCores.value,
-		idleCores:   idleCores.withValue(idleCores.value-baseCores).explained(withoutList, Format(baseCores, Cores)),
-		changeCores: change.withValue(e.ChangesPerDay * change.value / secondsPerDay).explained(", for each change"),
-		deltaRate: derived(e.ChangesPerDay*delta.value/secondsPerDay, "%s changes a day, %s",
+		memory:     memory.withValue(memory.value-baseMemory).explained(withoutList, Format(baseMemory, Bytes)),
+		baseCores:  baseCores,
+		knownCores: idleCores.value,
+		idleCores:  idleCores.withValue(idleCores.value-baseCores).explained(withoutList, Format(baseCores, Cores)),
+		changeCores: change.withValue(e.ChangesPerDay * change.value / secondsPerDay).
+			explained(", times the changes per second"),
+		deltaRate: derived(e.ChangesPerDay*delta.value/secondsPerDay, "%s changes per day, %s",
 			formatInteger(e.ChangesPerDay), delta.derivation),
 		snapshot: snapshot,
 		snapshotRate: snapshot.withValue(snapshot.value*e.Restarts/e.Relays/secondsPerDay).
-			explained(", %s restarts a day of all", formatInteger(e.Restarts)),
+			explained(", %s restarts per day of all relays together", formatInteger(e.Restarts)),
 	}
 }
 
@@ -67,30 +69,30 @@
 	startup := e.cost(RelayStartupTime, e.Destinations)
 	propagation := e.cost(RelayChangeTime, e.Destinations)
 	change := e.cost(RelayChangeCPU, e.Destinations).value
-	changesInOneHour := derived(24*e.ChangesPerDay*change/secondsPerDay, "24 times as many a second")
+	changesInOneHour := derived(24*e.ChangesPerDay*change/secondsPerDay, "24 times the mean rate of changes")
 	transfer := derived(list.snapshot.value/e.ControlPlane.ByteRate, "%s at %s",
 		Format(list.snapshot.value, Bytes), Format(e.ControlPlane.ByteRate, ByteRate))
 	discovery := derived(e.Destinations, "").
-		figure("list: destinations with which it becomes ready by discovery", Count, listMechanism)
-	discovery.Consequence = "it never becomes ready"
+		figure("list: destinations with which a relay becomes ready through discovery", Count, listMechanism)
+	discovery.Consequence = "the relay never becomes ready"
 	figure := func(name string, unit Unit, value estimate) Figure {
 		return e.withControlPlaneBudget(value.figure(name, unit, listMechanism))
 	}
 	return []Figure{
-		derived(e.watchMessageRate(), "%s changes a day", formatInteger(e.ChangesPerDay)).
-			figure("messages in: changes, and an empty line every 2 s", Rate, listMechanism),
+		derived(e.watchMessageRate(), "%s changes per day", formatInteger(e.ChangesPerDay)).
+			figure("list: messages received (changes, and an empty line every 2 s)", Rate, listMechanism),
 		e.withMeasuredBudget(discovery, RelayDiscoveryTime),
-		startup.figure("list: ready when handed over", Seconds, listMechanism).
+		startup.figure("list: time to ready with a known list", Seconds, listMechanism).
 			withBudget(e.MaxStartupTime, startupBudget),
 		figure("list: memory", Bytes, list.memory),
-		figure("list: bytes in by changes", ByteRate, list.deltaRate),
-		figure("list: bytes in by whole lists after restarts", ByteRate, list.snapshotRate),
-		transfer.figure("list: one whole list", Seconds, listMechanism),
-		propagation.figure("list: a change in force at a relay", Seconds, listMechanism).
+		figure("list: bytes received for changes", ByteRate, list.deltaRate),
+		figure("list: bytes received for snapshots after restarts", ByteRate, list.snapshotRate),
+		transfer.figure("list: transfer time of one snapshot", Seconds, listMechanism),
+		propagation.figure("list: time until a change takes effect at one relay", Seconds, listMechanism).
 			withBudget(e.MaxPropagationTime, propagationBudget),
-		figure("list: processor with no change", Cores, list.idleCores),
-		figure("list: processor for changes", Cores, list.changeCores),
-		figure("list: the same, all changes of a day in one hour", Cores, changesInOneHour),
+		figure("list: CPU without changes", Cores, list.idleCores),
+		figure("list: CPU for changes", Cores, list.changeCores),
+		figure("list: CPU for changes, a day's changes in one hour", Cores, changesInOneHour),
 	}
 }
 
@@ -108,13 +110,13 @@
 }
 
 func (e estimator) fleetFigures(fleet fleetUse) []Figure {
-	members := derived(e.Relays, "").figure("membership: relays that hear of each other", Count, fleetMechanism)
-	members.Consequence = "it does not start with the table"
+	members := derived(e.Relays, "").figure("membership: relays in the member table", Count, fleetMechanism)
+	members.Consequence = "a relay with a larger member table does not start"
 	published := derived(e.ActiveDestinations(), "").
-		figure("what is shared: destinations told of at once", Count, fleetMechanism)
-	published.Consequence = "of the others it tells nothing"
-	quotas := derived(e.Destinations, "").figure("rights: limits lent", Count, quotaMechanism)
-	quotas.Consequence = "the others go by their even parts"
+		figure("load reports: destinations published at the same time", Count, fleetMechanism)
+	published.Consequence = "the load of further destinations is not published"
+	quotas := derived(e.Destinations, "").figure("quotas: limits shared by leases", Count, quotaMechanism)
+	quotas.Consequence = "each relay keeps to its even share of further limits"
 
 	datagrams := e.cost(FleetDatagramRate, e.Relays)
 	idle := e.cost(FleetIdleByteRate, e.Relays)
@@ -125,16 +127,16 @@
 	}
 	return []Figure{
 		e.withMeasuredBudget(members, FleetMaxMembers),
-		datagrams.figure("membership and what is shared: messages out", Rate, fleetMechanism),
-		figure("membership alone: bytes out", ByteRate, idle, fleetMechanism),
-		figure("membership and what is shared: bytes out", ByteRate, fleet.byteRate, fleetMechanism),
-		figure("membership and what is shared: processor", Cores, fleet.cores, fleetMechanism),
-		figure("membership and what is shared: memory", Bytes, fleet.memory, fleetMechanism),
-		propagation.figure("what is shared: a change known to all", Seconds, fleetMechanism).
+		datagrams.figure("membership and load reports: datagrams sent", Rate, fleetMechanism),
+		figure("membership alone: bytes sent", ByteRate, idle, fleetMechanism),
+		figure("membership and load reports: bytes sent", ByteRate, fleet.byteRate, fleetMechanism),
+		figure("membership and load reports: CPU", Cores, fleet.cores, fleetMechanism),
+		figure("membership and load reports: memory", Bytes, fleet.memory, fleetMechanism),
+		propagation.figure("load reports: time until a change reaches all members", Seconds, fleetMechanism).
 			withBudget(e.MaxPropagationTime, propagationBudget),
 		e.withMeasuredBudget(published, FleetMaxPublished),
 		e.withMeasuredBudget(quotas, FleetMaxQuotas),
-		figure("rights: bytes out for 1,000 limits", ByteRate, quotaBytes, quotaMechanism),
+		figure("quotas: bytes sent for 1,000 limits", ByteRate, quotaBytes, quotaMechanism),
 	}
 }
 
@@ -160,7 +162,7 @@
 		f = f.withBudget(l.passed, measuredBudget)
 		f.Derivation = l.derivation()
 	default:
-		f.Derivation = fmt.Sprintf("`%s`: none of the sizes measured was too large, up to %s",
+		f.Derivation = fmt.Sprintf("`%s`: no failure at the measured sizes, up to %s",
 			name, formatInteger(l.largest))
 		if l.largest < f.Value {
 			f.Value = math.NaN()
@@ -178,8 +180,8 @@
 		name  string
 		value float64
 	}{
-		{"the list", list},
-		{"membership and what is shared with two busy pages", fleet},
+		{"endpoint list", list},
+		{"membership and load reports (two reports per member)", fleet},
 	} {
 		if !math.IsNaN(part.value) {
 			sum += part.value
@@ -189,7 +191,7 @@
 	f := derived(sum, "%s", strings.Join(known, ", ")).figure(name, unit, listMechanism+", "+fleetMechanism)
 	f = e.withControlPlaneBudget(f)
 	if len(known) < 2 {
-		f.Derivation += "; the rest is not measured"
+		f.Derivation += "; the other part is not measured"
 		if f.Value <= f.Budget {
 			f.Value = math.NaN()
 		}
--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -69,7 +69,7 @@
 		text.WriteString(extrapolationNote(size, m))
 	}
 	if m.Nonlinear() {
-		fmt.Fprintf(&text, " (bends by %.0f %%)", 100*m.Residual)
+		fmt.Fprintf(&text, " (nonlinear model, residual %.0f %%)", 100*m.Residual)
 		if size > maxExtrapolation*m.MaxSize {
 			text.WriteString(": " + m.ExtrapolationReason)
 		}
@@ -89,7 +89,7 @@
 	}
 	text := "`" + name + "`"
 	if size < m.MinSize {
-		text += fmt.Sprintf(": over at the smallest size measured, %s", formatInteger(m.MinSize))
+		text += fmt.Sprintf(": over budget at the smallest measured size, %s", formatInteger(m.MinSize))
 	}
 	if size > m.MaxSize && !math.IsInf(size, 1) {
 		text += extrapolationNote(size, m)
@@ -98,7 +98,7 @@
 }
 
 func extrapolationNote(size float64, m Model) string {
-	return fmt.Sprintf(", %s times beyond the largest measured", formatSignificant(size/m.MaxSize))
+	return fmt.Sprintf(", extrapolated to %s times the largest measured size", formatSignificant(size/m.MaxSize))
 }
 
 // deltaBytes estimates the bytes on the wire of a change of one endpoint: the growth of the snapshot per destination,
@@ -109,7 +109,7 @@
 		return unknown("`%s`: %v", SnapshotBytes, err)
 	}
 	endpoint := m.Slope / e.DestinationEndpoints
-	return estimate{endpoint, fmt.Sprintf("%s an endpoint by `%s`", Format(endpoint, Bytes), SnapshotBytes)}
+	return estimate{endpoint, fmt.Sprintf("%s per endpoint from `%s`", Format(endpoint, Bytes), SnapshotBytes)}
 }
 
 // limit holds the largest size of a series that passed.
@@ -135,5 +135,5 @@
 
 // derivation names the largest size that passed and the smallest that failed. It is valid only if found is true.
 func (l limit) derivation() string {
-	return fmt.Sprintf("`%s`: %s did, %s did not", l.series, formatInteger(l.passed), formatInteger(l.firstFailed))
+	return fmt.Sprintf("`%s`: %s passed, %s failed", l.series, formatInteger(l.passed), formatInteger(l.firstFailed))
 }
--- a/internal/capacity/figure.go
+++ b/internal/capacity/figure.go
@@ -18,7 +18,7 @@
 
 // String returns the verdict as the capacity page prints it.
 func (v Verdict) String() string {
-	return [...]string{"carried", "over", "not measured", "no mechanism yet"}[v]
+	return [...]string{"within budget", "over budget", "not measured", "not implemented"}[v]
 }
 
 // Figure is a quantity that the target requires of one part of the fleet, with its budget.
@@ -52,7 +52,7 @@
 	if verdict != BudgetExceeded {
 		return verdict.String()
 	}
-	text := fmt.Sprintf("**over, %.3g times**", f.Value/f.Budget)
+	text := fmt.Sprintf("**over budget by a factor of %.3g**", f.Value/f.Budget)
 	if f.Consequence != "" {
 		text += ": " + f.Consequence
 	}
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -21,7 +21,7 @@
 
 var (
 	errTooFewSizes = errors.New("fewer than three sizes were measured")
-	errNonlinear   = errors.New("bends")
+	errNonlinear   = errors.New("has a nonlinear model")
 )
 
 // Model describes how the cost of a series grows with the size: by a line and, if the line fits badly, by a power law.
@@ -99,7 +99,7 @@
 }
 
 func (m Model) extrapolationError(size float64) error {
-	return fmt.Errorf("%w by %.0f %% and is not extrapolated from %s to %s",
+	return fmt.Errorf("%w with a residual of %.0f %% and is not extrapolated from %s to %s",
 		errNonlinear, 100*m.Residual, Format(m.MaxSize, Count), Format(size, Count))
 }
 
--- a/internal/capacity/outage.go
+++ b/internal/capacity/outage.go
@@ -18,19 +18,19 @@
 	Guarantees          string  // effect on the guarantees to clients
 }
 
-const journalOnOneDisk = "what they had taken on waits on their disks, past its time if they stay away; " +
-	"nothing is repeated; a disk that is lost loses it, as nothing else holds it"
+const journalOnOneDisk = "messages that the lost relays accepted wait on their disks, past their deadlines if the " +
+	"relays stay away that long; nothing is repeated; messages on a lost disk are lost, as there is no other copy"
 
 // Outages returns the outages that the target includes.
 func Outages(t Target, r Run) []Outage {
 	e := estimator{t, r}
 	machine := e.lostRelays(1)
-	machine.Name = fmt.Sprintf("one machine, %s a day", formatInteger(t.MachineFailures))
+	machine.Name = fmt.Sprintf("one machine, %s per day", formatInteger(t.MachineFailures))
 	rack := e.lostRelays(t.RackRelays)
 	rack.Name = fmt.Sprintf("a rack or switch (%s relays), every month or two", formatInteger(t.RackRelays))
 	zone := e.lostRelays(t.ZoneRelays())
-	zone.Name = "a zone, every other month"
-	zone.Guarantees += ". A keyed message that may have run is repeated in its own zone alone: these wait for the zone"
+	zone.Name = "a zone, every two months"
+	zone.Guarantees += ". A keyed message that may have run is repeated only in its own zone, so it waits for the zone"
 	return []Outage{machine, rack, zone, e.isolatedRegion(), e.dailyRestarts()}
 }
 
@@ -63,9 +63,9 @@
 		QueuedMessages: toOtherRegions,
 		QueuedBytes:    diskPerMessage * toOtherRegions,
 		StartupTime:    e.cost(RelayRecoveryTime, e.RelayBacklog()).value,
-		Guarantees: fmt.Sprintf("each of its relays holds the %s of its events that go to other regions "+
-			"(destinations taken as spread evenly), the others hold %s each; "+
-			"messages whose time is under an hour end as undeliverable or deferred",
+		Guarantees: fmt.Sprintf("each relay of the region queues its %s messages to other regions "+
+			"(destinations are assumed to be spread evenly), and each other relay queues %s to it; "+
+			"messages with a deadline of less than an hour end as undeliverable or deferred",
 			Format(toOtherRegions, Count), Format(toThisRegion, Count)),
 	}
 }
@@ -75,13 +75,13 @@
 func (e estimator) dailyRestarts() Outage {
 	startup := e.cost(RelayRecoveryTime, e.RelayBacklog()).value
 	return Outage{
-		Name:          fmt.Sprintf("%s restarts a day", formatInteger(e.Restarts)),
+		Name:          fmt.Sprintf("%s restarts per day", formatInteger(e.Restarts)),
 		LostRelays:    e.Restarts * startup / secondsPerDay,
 		MessageRate:   e.RelayMessageRate(),
 		Cores:         e.cost(RelayCores, e.RelayMessageRate()).value,
 		SnapshotBytes: e.Restarts * e.cost(SnapshotBytes, e.Destinations).value,
 		StartupTime:   startup,
-		Guarantees: "none is broken: calls out may finish or count as may-have-run, " +
-			"and what waits is taken up again when the relay is ready; until then it is late by that much",
+		Guarantees: "all hold: calls in progress may finish or count as may-have-run, " +
+			"and queued messages continue when the relay is ready; they are delayed by the time to ready",
 	}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -12,8 +12,8 @@
 
 func TestSummaryNamesFirstBottlenecks(t *testing.T) {
 	for _, want := range []string{
-		"Of the program before (x) it was what carries destinations",
-		"**Missing first: what carries relays",
+		"First bottleneck of the program \"before\" (x): support for more destinations",
+		"**First bottleneck: support for more relays",
 	} {
 		if summary := exampleSections(t)[SectionSummary]; !strings.Contains(summary, want) {
 			t.Errorf("the summary does not contain %q:\n%s", want, summary)
@@ -46,7 +46,7 @@
 	}
 	page, err := Fill(blank, sections)
 	if err != nil || strings.Contains(page, "old\n") || !strings.Contains(page, "words of breaks") ||
-		!strings.Contains(page, "it does not start with the table") {
+		!strings.Contains(page, "factor of 2**: a relay with a larger member table does not start") {
 		t.Fatalf("the page was not filled correctly: %v\n%s", err, page)
 	}
 	if again, err := Fill(page, sections); err != nil || again != page {
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -10,20 +10,20 @@
 	loopMechanism     = "`internal/relay`, `policy`, `internal/state/journal`"
 	journalMechanism  = "`internal/state/journal`, `internal/state/store`"
 	listMechanism     = "`internal/relay`"
-	fleetMechanism    = "`internal/fleet/membership`, `ledger`, `codec`"
+	fleetMechanism    = "`internal/fleet/membership`, `loadreport`, `codec`"
 	quotaMechanism    = "`internal/fleet/quota`"
 	backoffMechanism  = "`internal/relay/discovery/backoff`"
-	platformMechanism = "the platform's"
+	platformMechanism = "the platform"
 	noMechanism       = ""
 )
 
 // The names of the budgets, as the capacity page prints them.
 const (
-	controlPlaneBudget = "control"
+	controlPlaneBudget = "control plane"
 	coreBudget         = "one core"
-	startupBudget      = "restart"
-	propagationBudget  = "everywhere"
-	measuredBudget     = "as measured"
+	startupBudget      = "time to ready"
+	propagationBudget  = "propagation"
+	measuredBudget     = "measured limit"
 )
 
 // Roles returns the parts of the fleet, each with the figures that follow from the target and a run.
@@ -41,13 +41,14 @@
 // knownDestinations estimates how many destinations the engine of a relay has state for.
 func (e estimator) knownDestinations() estimate {
 	if e.run.ActiveOnly {
-		return derived(e.ActiveDestinations(), "awake: traffic within %s or down", Format(e.IdleTimeout, Seconds))
+		return derived(e.ActiveDestinations(), "active: unavailable, or with traffic within %s",
+			Format(e.IdleTimeout, Seconds))
 	}
-	return derived(e.Destinations, "all are told")
+	return derived(e.Destinations, "the engine has state for all destinations")
 }
 
 func (e estimator) relayRole() Role {
-	return Role{"A relay: deciding and sending", append(e.relayLoadFigures(), e.relayBacklogFigures()...)}
+	return Role{"Relay message processing", append(e.relayLoadFigures(), e.relayBacklogFigures()...)}
 }
 
 func (e estimator) relayLoadFigures() []Figure {
@@ -61,19 +62,20 @@
 		return value.figure(name, Cores, mechanism).withBudget(e.RelayCores, coreBudget)
 	}
 	perMessage := func(cpu estimate) estimate {
-		return cpu.withValue(cpu.value * rate).explained(", for each message")
+		return cpu.withValue(cpu.value * rate).explained(", times the message rate")
 	}
 	return []Figure{
-		derived(e.RelayBacklog(), "%s of all relays", formatInteger(e.Backlog)).
-			figure("state: messages held", Count, journalMechanism),
-		known.figure("state: destinations that the module knows", Count, engineMechanism),
-		derived(rate, "%s a second of all", formatInteger(e.MessageRate)).figure("messages in", Rate, loopMechanism),
-		derived(rate*(1-e.UnavailableFraction), "one for each message but the %.1f %% whose destination is down",
-			100*e.UnavailableFraction).figure("calls out", Rate, loopMechanism),
-		cores("processor, connections used again", reused, loopMechanism),
-		cores("processor, a connection for each call", fresh, loopMechanism),
-		cores("processor, the module alone", perMessage(engine), engineMechanism),
-		cores("processor, the module beside the backlog", perMessage(besideBacklog), engineMechanism),
+		derived(e.RelayBacklog(), "%s in all relays together", formatInteger(e.Backlog)).
+			figure("state: queued messages", Count, journalMechanism),
+		known.figure("state: destinations known to the engine", Count, engineMechanism),
+		derived(rate, "%s per second of all relays together", formatInteger(e.MessageRate)).
+			figure("messages received", Rate, loopMechanism),
+		derived(rate*(1-e.UnavailableFraction), "one for each message but the %.1f %% to unavailable destinations",
+			100*e.UnavailableFraction).figure("calls to endpoints", Rate, loopMechanism),
+		cores("CPU, connections reused", reused, loopMechanism),
+		cores("CPU, a new connection for each call", fresh, loopMechanism),
+		cores("CPU, the engine alone", perMessage(engine), engineMechanism),
+		cores("CPU, the engine alone with the backlog", perMessage(besideBacklog), engineMechanism),
 	}
 }
 
@@ -83,13 +85,14 @@
 	recovery := e.cost(RelayRecoveryTime, e.RelayBacklog())
 	sync := e.cost(JournalSyncTime, 1)
 	return []Figure{
-		memory.explained("; `limits.memory_mb` has to allow it").
+		memory.explained("; `limits.memory_mb` must allow for this").
 			figure("memory with the backlog", Bytes, loopMechanism),
-		disk.explained("; `limits.disk_mb` has to allow it, and as much again for what is not yet compacted").
+		disk.explained("; `limits.disk_mb` must allow for this, and for as much again that is not yet compacted").
 			figure("disk with the backlog", Bytes, journalMechanism),
-		recovery.figure("ready after a restart with the backlog", Seconds, loopMechanism).
+		recovery.figure("time to ready after a restart with the backlog", Seconds, loopMechanism).
 			withBudget(e.MaxStartupTime, startupBudget),
-		sync.figure("a commit that outlasts the machine, if `journal.sync` asks for it", Seconds, journalMechanism),
+		sync.figure("time of a commit that survives a machine crash, if `journal.sync` requires it", Seconds,
+			journalMechanism),
 	}
 }
 
@@ -99,16 +102,17 @@
 	served := e.Relays / e.ControlMachines
 	deltaRate := served * e.ChangesPerDay * delta.value / secondsPerDay
 	snapshotRate := snapshot.value * e.Restarts / e.ControlMachines / secondsPerDay
-	return Role{fmt.Sprintf("A control machine, of %s", formatInteger(e.ControlMachines)), []Figure{
-		snapshot.figure("state: the list", Bytes, noMechanism),
-		derived(served, "%s of %s", formatInteger(e.Relays), formatInteger(e.ControlMachines)).
-			figure("relays that it would serve", Count, noMechanism),
-		derived(served*e.ChangesPerDay/secondsPerDay, "each change to each relay").
-			figure("messages out: changes", Rate, noMechanism),
-		delta.withValue(deltaRate).figure("bytes out: changes", ByteRate, noMechanism),
-		snapshot.withValue(snapshotRate).figure("bytes out: whole lists after restarts", ByteRate, noMechanism),
-		snapshot.withValue(served*snapshot.value).figure("bytes out: all its relays ask at once", Bytes, noMechanism),
-		unknown("no program of ours runs there").figure("processor, memory, disk", Count, noMechanism),
+	return Role{fmt.Sprintf("Control plane machine, one of %s", formatInteger(e.ControlMachines)), []Figure{
+		snapshot.figure("state: endpoint list", Bytes, noMechanism),
+		derived(served, "%s relays on %s machines", formatInteger(e.Relays), formatInteger(e.ControlMachines)).
+			figure("relays that this machine would serve", Count, noMechanism),
+		derived(served*e.ChangesPerDay/secondsPerDay, "each change is sent to each relay").
+			figure("messages sent: changes", Rate, noMechanism),
+		delta.withValue(deltaRate).figure("bytes sent: changes", ByteRate, noMechanism),
+		snapshot.withValue(snapshotRate).figure("bytes sent: snapshots after restarts", ByteRate, noMechanism),
+		snapshot.withValue(served*snapshot.value).
+			figure("bytes sent: all its relays request a snapshot at once", Bytes, noMechanism),
+		unknown("this project has no program for this machine").figure("CPU, memory, disk", Count, noMechanism),
 	}}
 }
 
@@ -118,16 +122,16 @@
 	deltaToAll := delta.withValue(delta.value * e.Relays)
 	dailyDeltas := delta.withValue(delta.value * e.Relays * e.ChangesPerDay)
 	snapshotToAll := snapshot.withValue(snapshot.value * e.Relays)
-	return Role{"Discovery's agent (the platform's; one beside each relay)", []Figure{
-		snapshot.figure("state: the list", Bytes, platformMechanism),
-		derived(e.watchMessageRate(), "changes, and an empty line every 2 s").
-			figure("messages out", Rate, listMechanism),
-		deltaToAll.figure("bytes for one change, to all relays", Bytes, listMechanism),
-		dailyDeltas.figure("bytes for a day's changes, to all relays", Bytes, listMechanism),
-		snapshotToAll.figure("bytes for a whole list, to all relays", Bytes, listMechanism),
-		derived(e.Restarts/secondsPerDay, "one for each restart").
-			figure("calls for the list after restarts, where lists are asked for", Rate, backoffMechanism),
-		unknown("not ours").figure("processor, memory", Count, platformMechanism),
+	return Role{"Discovery agent (run by the platform beside each relay)", []Figure{
+		snapshot.figure("state: endpoint list", Bytes, platformMechanism),
+		derived(e.watchMessageRate(), "changes, and a heartbeat (empty line) every 2 s").
+			figure("messages sent", Rate, listMechanism),
+		deltaToAll.figure("bytes sent for one change, to all relays", Bytes, listMechanism),
+		dailyDeltas.figure("bytes sent for the changes of a day, to all relays", Bytes, listMechanism),
+		snapshotToAll.figure("bytes sent for one snapshot, to all relays", Bytes, listMechanism),
+		derived(e.Restarts/secondsPerDay, "one request for each restart").
+			figure("list requests after restarts, where relays request lists", Rate, backoffMechanism),
+		unknown("not part of this project").figure("CPU, memory", Count, platformMechanism),
 	}}
 }
 
@@ -139,16 +143,16 @@
 func (e estimator) takeoverRole() Role {
 	backlog, rate := e.RelayBacklog(), e.RelayMessageRate()
 	disk := e.cost(JournalDisk, backlog)
-	return Role{"Whoever takes over lost work", []Figure{
-		derived(backlog, "a relay's journal lies on its own disk alone").
-			figure("state: the backlog of a machine that is gone", Count, noMechanism),
-		disk.figure("bytes of it", Bytes, noMechanism),
-		derived(2*rate, "each accept and each end").
-			figure("messages a second to keep a second copy, of each relay", Rate, noMechanism),
-		derived(disk.value/backlog*rate, "each accept, with its body").
-			figure("bytes a second to keep a second copy, of each relay", ByteRate, noMechanism),
-		derived(e.MachineFailures, "machines that fail on an ordinary day").
+	return Role{"Takeover service for the backlogs of lost machines", []Figure{
+		derived(backlog, "the journal of a relay is stored on its own disk only").
+			figure("state: backlog of a lost machine", Count, noMechanism),
+		disk.figure("bytes of this backlog", Bytes, noMechanism),
+		derived(2*rate, "one at the acceptance and one at the end of each message").
+			figure("messages per second to replicate the journal of one relay", Rate, noMechanism),
+		derived(disk.value/backlog*rate, "each accepted message, with its body").
+			figure("bytes per second to replicate the journal of one relay", ByteRate, noMechanism),
+		derived(e.MachineFailures, "machine failures on an ordinary day").
 			figure("backlogs to take over", CountPerDay, noMechanism),
-		unknown("nothing takes over").figure("processor, memory", Count, noMechanism),
+		unknown("no takeover service exists").figure("CPU, memory", Count, noMechanism),
 	}}
 }
--- a/internal/capacity/summary.go
+++ b/internal/capacity/summary.go
@@ -9,25 +9,26 @@
 
 func summarySection(t Target, d Data, r Run) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "Measured: %s (the program %s).\n\n", provenance(r), r.Program)
+	fmt.Fprintf(&text, "Measured: %s (program %q).\n\n", provenance(r), r.Program)
 	bottlenecks := Bottlenecks(t, r)
 	if first, ok := FirstBottleneck(bottlenecks); ok {
-		fmt.Fprintf(&text, "**Missing first: %s.** At %s of %s %s (%.2g %% of the target) %s: %s.\n\n",
-			missingMechanism(first), Format(first.Limit, Count), formatInteger(first.Target), first.Axis,
+		fmt.Fprintf(&text, "**First bottleneck: %s.** Above %s of %s %s (%.2g %% of the target), %s (%s).\n\n",
+			describeMechanism(first), Format(first.Limit, Count), formatInteger(first.Target), first.Axis,
 			100*first.TargetFraction(), first.Description, first.Effect)
 	} else {
-		text.WriteString("**Nothing that was measured breaks below its target.**\n\n")
+		text.WriteString("**No measured limit is below its target.**\n\n")
 	}
 	text.WriteString(baselineSentence(t, d, r))
 
 	verdicts := countVerdicts(t, r)
-	fmt.Fprintf(&text, "Of %d figures %d are carried, %d over, %d not measured, and %d have no mechanism yet.\n\n",
+	fmt.Fprintf(&text,
+		"Of %d quantities, %d are within budget or have none, %d over budget, %d not measured, %d not implemented.\n\n",
 		verdicts.figures, verdicts.count[WithinBudget], verdicts.count[BudgetExceeded], verdicts.count[NotMeasured],
 		verdicts.count[NoMechanism])
 	text.WriteString(axesTable(bottlenecks))
-	writeList(&text, "Over:", verdicts.exceeded)
+	writeList(&text, "Over budget:", verdicts.exceeded)
 	writeList(&text, "Not measured:", verdicts.notMeasured)
-	writeList(&text, "No mechanism:", verdicts.noMechanism)
+	writeList(&text, "Not implemented:", verdicts.noMechanism)
 	return text.String()
 }
 
@@ -42,8 +43,8 @@
 	if !ok {
 		return ""
 	}
-	return fmt.Sprintf("Of the program before (%s) it was %s: at %s of %s %s (%.2g %%) %s: %s.\n\n",
-		baseline.Commit, missingMechanism(first), Format(first.Limit, Count), formatInteger(first.Target), first.Axis,
+	return fmt.Sprintf("First bottleneck of the program \"before\" (%s): %s. Above %s of %s %s (%.2g %%), %s (%s).\n\n",
+		baseline.Commit, describeMechanism(first), Format(first.Limit, Count), formatInteger(first.Target), first.Axis,
 		100*first.TargetFraction(), first.Description, first.Effect)
 }
 
@@ -71,10 +72,10 @@
 	switch f.Verdict() {
 	case WithinBudget:
 	case BudgetExceeded:
-		line := fmt.Sprintf("%s: %s of %s (%s)", name, Format(f.Value, f.Unit), Format(f.Budget, f.Unit),
+		line := fmt.Sprintf("%s: %s, budget %s (%s)", name, Format(f.Value, f.Unit), Format(f.Budget, f.Unit),
 			strings.ReplaceAll(f.VerdictText(), "*", ""))
-		if strings.Contains(f.Derivation, "bends") {
-			line += "; the line bends: a coarse figure"
+		if strings.Contains(f.Derivation, "nonlinear model") {
+			line += "; rough estimate, as the model is nonlinear"
 		}
 		s.exceeded = append(s.exceeded, line)
 	case NotMeasured:
@@ -88,7 +89,7 @@
 
 // axesTable returns a table with the most urgent bottleneck of each axis.
 func axesTable(bottlenecks []Bottleneck) string {
-	x := newTable("axis", "target", "first break", "at", "share of the target", "effect")
+	x := newTable("axis", "target", "first bottleneck", "limit", "limit relative to target", "effect above the limit")
 	var seen []string
 	for _, b := range bottlenecks {
 		if slices.Contains(seen, b.Axis) {
@@ -110,9 +111,9 @@
 	}
 }
 
-func missingMechanism(b Bottleneck) string {
+func describeMechanism(b Bottleneck) string {
 	if b.Mechanism == noMechanism {
-		return "a mechanism that there is none of yet"
+		return "a mechanism that is not implemented yet"
 	}
-	return "what carries " + b.Axis + " in " + b.Mechanism
+	return "support for more " + b.Axis + " in " + b.Mechanism
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -11,7 +11,7 @@
 func provenance(r Run) string {
 	quick := ""
 	if r.Quick {
-		quick = ", quick: at the smaller sizes alone"
+		quick = ", quick: smaller sizes only"
 	}
 	memoryGB := float64(r.Machine.MemoryMB) / 1024
 	return fmt.Sprintf("%s, commit %s, %d cores, %.0f GB, %s%s",
@@ -22,7 +22,7 @@
 	var text strings.Builder
 	for _, role := range Roles(t, r) {
 		fmt.Fprintf(&text, "### %s\n\n", role.Name)
-		x := newTable("what", "figure", "budget", "verdict", "carried by", "worked out from")
+		x := newTable("quantity", "value", "budget", "verdict", "implemented by", "derived from")
 		for _, f := range role.Figures {
 			x.row(
 				f.Name,
@@ -40,23 +40,23 @@
 
 func formatBudget(f Figure) string {
 	if f.BudgetName == "" {
-		return "none told"
+		return "none"
 	}
 	return Format(f.Budget, f.Unit) + " (" + f.BudgetName + ")"
 }
 
 func outagesSection(t Target, r Run) string {
 	x := newTable(
-		"failure",
-		"relays away",
-		"each other relay takes",
-		"its processor",
-		"messages out of reach",
-		"held more by each",
-		"on its disk",
-		"lists that come anew",
-		"ready after",
-		"promises to clients",
+		"outage",
+		"unavailable or isolated relays",
+		"message rate per remaining relay",
+		"CPU per remaining relay",
+		"unreachable messages",
+		"additional queued messages per isolated relay",
+		"disk for these messages",
+		"snapshots sent again",
+		"time to ready",
+		"effect on guarantees to clients",
 	)
 	formatNonZero := func(value float64, unit Unit) string {
 		if value == 0 {
@@ -88,9 +88,9 @@
 		if !ok {
 			continue
 		}
-		fmt.Fprintf(&text, "The program %s (%s):\n\n", program, provenance(r))
-		x := newTable("axis", "target", "breaks at", "share of the target", "effect", "what", "carried by",
-			"worked out from")
+		fmt.Fprintf(&text, "Program %q (%s):\n\n", program, provenance(r))
+		x := newTable("axis", "target", "limit", "limit relative to target", "effect above the limit", "bottleneck",
+			"implemented by", "derived from")
 		for _, b := range Bottlenecks(t, r) {
 			x.row(
 				b.Axis,
@@ -110,7 +110,7 @@
 
 func formatLimit(b Bottleneck) string {
 	if math.IsNaN(b.Limit) {
-		return "not known"
+		return "unknown"
 	}
 	return Format(b.Limit, Count)
 }
@@ -135,8 +135,8 @@
 
 func seriesSection(r Run) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s; the last measuring took %s.\n\n", provenance(r), Format(r.Seconds, Seconds))
-	x := newTable("series", "over", "readings", "line", "residual", "")
+	fmt.Fprintf(&text, "%s; the last measurement run took %s.\n\n", provenance(r), Format(r.Seconds, Seconds))
+	x := newTable("series", "size", "cost at each size", "linear fit", "residual", "notes")
 	for _, s := range r.Series {
 		line, residual, notes := describeModel(s)
 		x.row("`"+s.Name+"`", s.Axis, formatPoints(s), line, residual, notes)
@@ -150,7 +150,7 @@
 	for _, p := range s.Points {
 		value := Format(p.Value, s.Unit)
 		if p.Failed {
-			value = "stopped"
+			value = "failed"
 		}
 		points = append(points, formatInteger(p.Size)+": "+value)
 	}
@@ -168,12 +168,13 @@
 		return "", "", strings.Join(append(all, err.Error()), "; ")
 	}
 	if m.Nonlinear() {
-		all = append(all, fmt.Sprintf("**bends**: the last three grow by the power %.2g of the size", m.Exponent))
+		all = append(all, fmt.Sprintf("**nonlinear**: the last three sizes follow a power law with exponent %.2g",
+			m.Exponent))
 		if m.ExtrapolationReason != "" {
 			all = append(all, m.ExtrapolationReason)
 		}
 	}
-	line = fmt.Sprintf("%s + %s each", Format(m.Intercept, s.Unit), Format(m.Slope, s.Unit))
+	line = fmt.Sprintf("%s + %s per unit of size", Format(m.Intercept, s.Unit), Format(m.Slope, s.Unit))
 	return line, fmt.Sprintf("%.1f %%", 100*m.Residual), strings.Join(all, "; ")
 }
 
@@ -181,7 +182,7 @@
 func programsSection(d Data) string {
 	baseline, ok := d.Run(Baseline)
 	if !ok {
-		return "The program before was not measured."
+		return "The program \"before\" was not measured."
 	}
 	current, ok := d.Run(Current)
 	var text strings.Builder
@@ -189,7 +190,7 @@
 	if ok {
 		fmt.Fprintf(&text, "In force: %s.\n\n", provenance(current))
 	} else {
-		text.WriteString("In force: the same; no other program was measured yet.\n\n")
+		text.WriteString("In force: the same program; no later one was measured yet.\n\n")
 	}
 	x := newTable("series", "size", "before", "in force")
 	for _, s := range baseline.Series {
@@ -208,7 +209,7 @@
 
 func formatPoint(p Point, unit Unit) string {
 	if p.Failed {
-		return "never"
+		return "failed"
 	}
 	return Format(p.Value, unit)
 }
