--- a/internal/capacity/controlplane.go
+++ b/internal/capacity/controlplane.go
@@ -82,7 +82,7 @@
 		derived(e.watchMessageRate(), "%s changes per day", formatInteger(e.ChangesPerDay)).
 			figure("list: messages received (changes, and an empty line every 2 s)", Rate, listMechanism),
 		e.withMeasuredBudget(discovery, RelayDiscoveryTime),
-		startup.figure("list: time to ready with a known list", Seconds, listMechanism).
+		startup.figure("list: time to ready with a configured list", Seconds, listMechanism).
 			withBudget(e.MaxStartupTime, startupBudget),
 		figure("list: memory", Bytes, list.memory),
 		figure("list: bytes received for changes", ByteRate, list.deltaRate),
--- a/internal/capacity/roles_test.go
+++ b/internal/capacity/roles_test.go
@@ -80,7 +80,7 @@
 		"list: destinations with which a relay becomes ready through discovery": {
 			1000, BudgetExceeded, "by a factor of 10**: the relay never becomes ready",
 		},
-		"list: time to ready with a known list":               {1.1, WithinBudget, ""},
+		"list: time to ready with a configured list": {1.1, WithinBudget, ""},
 		"list: memory":                                        {4e6, BudgetExceeded, "by a factor of 2**"},
 		"list: bytes received for changes":                    {listByteRate, WithinBudget, ""},
 		"list: bytes received for snapshots after restarts":   {snapshotByteRate, WithinBudget, ""},
