--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -23,7 +23,7 @@
 
 const (
 	statusTimeout = 2 * time.Second  // bounds the wait for each relay's answer
-	maxStatusSize = 4 << 20          // of a relay's answer, in bytes
+	maxStatusSize = 4 << 20          // upper bound on a relay's answer, in bytes
 	minBinWidth   = time.Millisecond // lower bound on the flag --bin
 )
 
@@ -81,7 +81,7 @@
 	From  time.Duration `help:"Start of the time range, as time since the start of the first process."`
 	To    time.Duration `help:"End of the time range, as time since the start of the first process; 0: the end of the recordings."`
 	Bin   time.Duration `default:"1s" help:"Width of a time bin, for the table by time."`
-	Place string        `help:"Print the counts of one rate-limit scope by time: a destination, DESTINATION/ENDPOINT where each endpoint has a limit of its own, or all."`
+	Place string        `help:"Print the counts by time of one rate-limit scope (a destination, or DESTINATION/ENDPOINT where each endpoint has a limit of its own) or of all scopes together (all)."`
 }
 
 // Run prints the counts as a table: a row for each rate-limit scope or, with --place, a row for each time bin.
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -37,7 +37,7 @@
 //
 //nolint:lll // A struct tag is one line.
 type commands struct {
-	Version   kong.VersionFlag `help:"Print the version and end."`
+	Version   kong.VersionFlag `help:"Print the version and exit."`
 	Serve     serveCommand     `cmd:"" default:"withargs" help:"Run the relay (the default)."`
 	Replay    replayCommand    `cmd:"" help:"Replay recordings with the decision engine of this build and report differences (status 3)."`
 	Explain   explainCommand   `cmd:"" help:"Explain from recordings what delayed messages."`
@@ -90,8 +90,8 @@
 	return r.Run(ctx)
 }
 
-// notifySignal returns a channel that receives a signal of the process. The channel holds one: further signals are
-// dropped until it is read.
+// notifySignal returns a channel that receives a signal of the process. The channel buffers one signal. Further signals
+// are dropped until that signal is read.
 func notifySignal(sig os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, sig)
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -38,15 +38,15 @@
 	"and reports for each of the six rules whether it held."
 
 func main() {
-	// The signals stay caught until the process has exited. Otherwise another signal shortly before that would end the
-	// process, and its exit status would be lost.
+	// The stop function is not used: the signals stay caught until the process exits. Otherwise a second signal just
+	// before the exit would kill the process, and its exit status would be that of the signal.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
 // commands holds the subcommands of the command line.
 type commands struct {
-	Version kong.VersionFlag `help:"Print the version and end."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 	Run     runCommand       `cmd:"" default:"withargs" help:"Run scenarios, one after the other (the default)."`
 	List    listCommand      `cmd:"" help:"List the built-in scenarios."`
 	Report  reportCommand    `cmd:"" help:"Check the record of a run again and print the report."`
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -29,7 +29,7 @@
 )
 
 type app struct {
-	Version kong.VersionFlag `help:"Print the version and end."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
 // Run processes batches until the input ends.
--- a/cmd/sockfault/main.go
+++ b/cmd/sockfault/main.go
@@ -35,7 +35,7 @@
 
 // app is the command line.
 type app struct {
-	Version kong.VersionFlag `help:"Print the version and end."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 
 	Listen string `default:"127.0.0.1:0" placeholder:"ADDR" help:"Address to listen on."`
 	Target string `required:"" placeholder:"ADDR" help:"Address that connections are forwarded to."`
@@ -126,7 +126,7 @@
 
 // report prints a line with a name and a value.
 func report(out io.Writer, name, value string) {
-	_, _ = fmt.Fprintln(out, name, value) // after an error there is no reader, and the proxy goes on serving
+	_, _ = fmt.Fprintln(out, name, value) // an error means that nobody reads the output; the proxy continues
 }
 
 // discard closes a resource whose result no longer matters.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the admin address of a relay: it reports the relay's readiness, its metrics and the status of
-// its fleet to the platform and to on-call staff. A connection carries one request. A client that sends nothing or only
-// a part of a request is disconnected within a second. No request waits for another connection.
+// Package admin serves the management address of a relay: it reports the relay's readiness, its metrics and the status
+// of its fleet to the platform and to on-call staff. A connection carries one request. A client that sends nothing or
+// only a part of a request is disconnected within a second. No request waits for another connection.
 package admin
 
 import (
@@ -21,8 +21,8 @@
 	maxHeaderBytes = 4 << 10
 )
 
-// Server answers requests on the admin address. Ready, Metrics and Fleet are called from many goroutines at once, and
-// must return well within requestTimeout even if the relay's event loop is busy.
+// Server answers requests on the management address. Ready, Metrics and Fleet are called from many goroutines at once,
+// and must return well within requestTimeout even if the relay's event loop is busy.
 type Server struct {
 	// Ready reports whether the process is ready to serve.
 	Ready func() bool
@@ -33,7 +33,7 @@
 	Log   *slog.Logger
 }
 
-// Handler returns the handler for all requests on the admin address.
+// Handler returns the handler for all requests on the management address.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", s.handleReady)
@@ -77,7 +77,7 @@
 	server.SetKeepAlivesEnabled(false)
 	stop := context.AfterFunc(ctx, func() {
 		if err := server.Close(); err != nil {
-			s.Log.Debug("admin server not closed cleanly", "err", err)
+			s.Log.Debug("server of the management address not closed cleanly", "err", err)
 		}
 	})
 	defer stop()
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "update the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // The encoded state, with every field set including those of the reports and the quota, matches the golden file and
 // is decoded to the same state.
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "update the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func goldenQuota() quota.Message {
 	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,7 +13,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "update the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // The JSON that GET /v1/fleet returns and the printed table match the golden files, for a member that is up with
 // every field set and for a member that is down.
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "update the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // The local state that a node returns to memberlist for a state exchange matches the golden file. A node has no
 // metadata.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -110,7 +110,7 @@
 	if len(scopes) == 0 {
 		return
 	}
-	p.printf("destination\tlimit\town\tlent\tlease holder\tgrant rate\tcapacity\twaiting\n")
+	p.printf("destination\tlimit\town\tlent\tlease holder\tgrant rate\tcapacity fraction\twaiting\n")
 	for _, s := range scopes {
 		scope := strconv.Itoa(int(s.Destination))
 		if s.Endpoint != "" {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenSnapshot = "sender.snapshot"
 
