--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -8,11 +8,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/admin"
 )
 
-// serveAdmin starts the server at the admin address. The server runs until ctx ends.
+// serveAdmin starts the server at the management address. The server runs until ctx ends.
 func (r *Relay) serveAdmin(ctx context.Context) error {
 	listener, err := net.Listen("tcp", r.cfg.AdminListen)
 	if err != nil {
-		return fmt.Errorf("relay: admin address: %w", err)
+		return fmt.Errorf("relay: management address: %w", err)
 	}
 	server := admin.Server{
 		Ready:   r.ready,
@@ -28,6 +28,6 @@
 
 // ready reports whether this process serves clients, or is about to take over, and is not terminating.
 func (r *Relay) ready() bool {
-	serving := r.endpointsKnown.Load() || r.awaitingHandover.Load()
+	serving := r.endpointsKnown.Load() || r.awaitingHandOver.Load()
 	return serving && !r.terminating.Load()
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -28,7 +28,7 @@
 	egress.Attempt
 	call     *call
 	message  *message
-	number   int         // within the message, from 0
+	number   int         // of the attempt within its message, from 0
 	timer    *time.Timer // ends the attempt before its call ends; nil if both end together
 	finished bool        // its outcome was passed on to the engine, or to the successor
 }
@@ -219,8 +219,8 @@
 		events = r.markDelivered(events, m.resubmittedAs)
 	}
 	r.remove(m)
-	if m.awaitingRemote {
-		return r.resumeAfterRemoteAttempt(events, a, result)
+	if m.awaitingPredecessor {
+		return r.resumeAfterPredecessorAttempt(events, a, result)
 	}
 	return append(events, policy.Event{
 		Kind:         policy.AttemptFinished,
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// testFirstMessageOfCall submits messages in an order, and checks that the one with the most time left leads their
-// call.
+// testFirstMessageOfCall submits messages in an order, and checks that the message with the most time left is the first
+// of their call.
 func testFirstMessageOfCall(t *testing.T, order []string) {
 	timeLeft := map[string]time.Duration{
 		"short":  400 * time.Millisecond,
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -19,7 +19,7 @@
 	Name          string
 	Listen        string // the address for clients
 	InheritedFD   string // descriptor of the platform's socket, which already listens there; "": none
-	AdminListen   string // the address for on-call staff and the platform; "": none
+	AdminListen   string // the management address, for on-call staff and the platform; "": none
 	DiscoveryAddr string // the address of service discovery's agent
 	StateDir      string // the folder for the journal and other files that outlive the process
 	Seed          uint64
@@ -48,7 +48,7 @@
 	// WrapJournalFS wraps the file system of the journal; nil: the file system is used directly.
 	WrapJournalFS func(store.FS) store.FS
 
-	unreadable      int             // number of unreadable entries, if the list is long
+	unreadableCount int             // number of unreadable entries, if the list is long
 	firstUnreadable discovery.Entry // the first unreadable entry
 }
 
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -38,7 +38,7 @@
 		"ingress.newConnGrace", "ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages",
 		"ratelog.minInterval", "relay.readBufferSize", "discovery.MaxPartEntries", "discovery.noVersion",
 		"backoff.maxDoublings", "relay.maxEvictions", "relay.evictInterval", "policy.maxQueueScan",
-		"policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin", "policy.randomStream",
+		"policy.maxFleetSize", "policy.snapshotVersion", "policy.deadlineMargin", "policy.randomStream",
 		"policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a fraction of a setting": {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -19,7 +19,7 @@
 // submitEvent submits a message from a client.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message              // set by the loop: the message that was registered for it, or that it duplicates
+	acceptedAs *message              // set by the loop: the registered message; for a duplicate, the earlier message
 	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
@@ -38,7 +38,7 @@
 // sendCheck requests the attempts of a delayed call that may still be sent.
 type sendCheck struct {
 	call  *call
-	reply chan []*egress.Attempt // buffered; receives those attempts
+	reply chan []*egress.Attempt // buffered; receives the attempts that may still be sent
 }
 
 // notificationsAcked reports that the platform has accepted the final notifications of these messages.
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -33,8 +33,8 @@
 	}
 	if err := r.recordSends(todo.calls); err != nil {
 		r.sendsUnrecorded.Log(r.log, "calls", len(todo.calls), "err", err)
-		// A send that is not in the journal must not leave the relay: after a restart the message would be sent
-		// again.
+		// A send that is not in the journal must not leave the relay: after a restart, the message would be sent
+		// again as if it had never been sent.
 		r.returnCalls(todo.calls)
 		todo.calls = nil
 	}
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -12,8 +12,8 @@
 )
 
 // A client that lost its connection before the answer came submits its message again under the same id, shortly after
-// the message was finished. A message that has run, or may have, must not run again. One that never ran, or was
-// rejected, is a new message.
+// the message was finished. A message that has run, or may have run, must not run again. A message that never ran,
+// or was rejected, is accepted as a new message.
 func TestDuplicateOfFinishedMessage(t *testing.T) {
 	const destination = 8 // known but without endpoints: the policy sends nothing
 	delivered := &egress.Result{Outcome: policy.OK}
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -57,7 +57,7 @@
 	r.forwardOutcome(e.attempt, timeout, false)
 }
 
-func (e remoteOutcome) forward(r *Relay) {
+func (e predecessorOutcome) forward(r *Relay) {
 	outcome := hotrestart.Outcome(e)
 	r.sendToSuccessor(hotrestart.Frame{Outcome: &outcome})
 }
@@ -97,14 +97,14 @@
 	}})
 }
 
-// sendToSuccessor sends a frame to the successor. If the successor has died, the state that it took over is lost: the
-// next process recovers from the journal.
+// sendToSuccessor sends a frame to the successor. If the successor has ended, the state that it took over is lost:
+// the next process recovers from the journal.
 func (r *Relay) sendToSuccessor(f hotrestart.Frame) {
 	if r.successor == nil {
 		return
 	}
 	if err := r.successor.Send(f); err != nil {
-		r.log.Warn("frame not sent to successor", "err", err)
+		r.log.Warn("hot-restart frame not sent to the successor", "err", err)
 	}
 }
 
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -16,14 +16,13 @@
 // successor.
 type hotRestartState struct {
 	predecessor *hotrestart.Conn // nil: this process started without one
-	// stopLeading stops what only the process that owns the journal does: fleet membership, the watch of the endpoint
-	// list and the sending of final notifications.
-	stopLeading context.CancelFunc
+	// stopOwnerTasks cancels the tasks that only the process that owns the journal may run: see startBackground.
+	stopOwnerTasks context.CancelFunc
 
 	// Owned by the loop.
-	remoteAttempts map[attemptKey]*attempt // attempts of the predecessor, in calls that have not ended
-	successor      *hotrestart.Conn        // the process that is ready to take over or has taken over; nil: none
-	handedOver     bool                    // the successor has taken over: this process makes no more decisions
+	predecessorAttempts map[attemptKey]*attempt // attempts of the predecessor, in calls that have not ended
+	successor           *hotrestart.Conn        // the process that is ready to take over or has taken over; nil: none
+	handedOver          bool                    // the successor has taken over: this process makes no more decisions
 
 	forwarded forwardedSubmissions
 }
@@ -34,16 +33,16 @@
 // successorGone reports that a process that was ready to take over has closed its connection.
 type successorGone struct{ conn *hotrestart.Conn }
 
-// handOverRequest requests that the loop hand over. The reply reports whether it did.
+// handOverRequest requests that the loop hand over. The reply reports whether the loop has done so.
 type handOverRequest struct{ reply chan bool }
 
 func (e successorReady) apply(r *Relay, _ *stepState) { r.setSuccessor(e.conn) }
 
 func (e successorGone) apply(r *Relay, _ *stepState) { r.clearSuccessor(e.conn) }
 
-func (e handOverRequest) apply(_ *Relay, s *stepState) { s.handOff = &e }
+func (e handOverRequest) apply(_ *Relay, s *stepState) { s.handOver = &e }
 
-func (r *Relay) handoverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
+func (r *Relay) handOverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
 
 // listenForSuccessor lets another process connect and take over from this one until ctx ends. It does nothing unless
 // the platform holds the clients' socket, which the other process needs.
@@ -51,7 +50,7 @@
 	if r.cfg.InheritedFD == "" {
 		return
 	}
-	l, err := hotrestart.Listen(r.handoverPath())
+	l, err := hotrestart.Listen(r.handOverPath())
 	if err != nil {
 		r.log.Warn("no process can take over from this one", "err", err)
 		return
@@ -107,7 +106,8 @@
 	}
 }
 
-// handOverToSuccessor has the loop hand over if a process is ready to take over, and reports whether it did.
+// handOverToSuccessor has the loop hand over if a process is ready to take over, and reports whether the loop
+// has done so.
 func (r *Relay) handOverToSuccessor() bool {
 	request := handOverRequest{make(chan bool, 1)}
 	return r.post(request) && <-request.reply
@@ -125,13 +125,13 @@
 		r.log.Warn("journal not written at hand-over", "err", err)
 	}
 	r.handedOver = true
-	r.stopLeading()
+	r.stopOwnerTasks()
 	r.egress.Close()
 	r.terminating.Store(true)
 	if err := r.successor.Send(hotrestart.Frame{State: state}); err != nil {
-		r.log.Error("hand-over failed", "err", err)
+		r.log.Error("cannot send the state to the successor", "err", err)
 	}
-	r.log.Info("handed over", "messages", len(state.Messages), "out", len(state.Attempts))
+	r.log.Info("hand-over to the successor finished", "messages", len(state.Messages), "out", len(state.Attempts))
 	r.pending = 0
 	return true
 }
@@ -159,7 +159,7 @@
 			s.Attempts = append(s.Attempts, exportAttempt(a))
 		}
 	}
-	for _, a := range r.remoteAttempts {
+	for _, a := range r.predecessorAttempts {
 		s.Attempts = append(s.Attempts, exportAttempt(a))
 	}
 	return s
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -70,7 +70,7 @@
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(listener net.Listener) {
-	acceptFailures := ratelog.Warning{Message: "accept"}
+	acceptFailures := ratelog.Warning{Message: "cannot accept a connection"}
 	for {
 		accepted, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -109,7 +109,7 @@
 }
 
 // makeRoom waits until another connection may be added, and closes one if necessary. With forced set, it closes one
-// even below the limit, unless the responses of all are awaited.
+// even below the limit, unless responses are awaited on all connections.
 func (s *Server) makeRoom(forced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +161,7 @@
 }
 
 // evictionCandidate returns the connection to close when room is needed: of those with the lowest rank, the one
-// that has been longest in its phase. It returns nil if the responses of all connections are awaited.
+// that has been longest in its phase. It returns nil if responses are awaited on all connections.
 func (s *Server) evictionCandidate(now time.Time) *Conn {
 	var candidate *Conn
 	lowest := rankHandling
--- a/internal/relay/knownlist.go
+++ b/internal/relay/knownlist.go
@@ -68,8 +68,8 @@
 		long.Upsert(e.Endpoint)
 		return
 	}
-	c.unreadable++
-	if c.unreadable == 1 {
+	c.unreadableCount++
+	if c.unreadableCount == 1 {
 		c.firstUnreadable = e
 	}
 }
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -35,10 +35,10 @@
 	}
 	r.catalog = r.cfg.KnownCatalog
 	r.cfg.KnownCatalog = nil
-	if r.cfg.unreadable > 0 {
+	if r.cfg.unreadableCount > 0 {
 		first := r.cfg.firstUnreadable
 		r.log.Warn("unreadable entries of the known endpoint list",
-			"count", r.cfg.unreadable, "entry", first.Text, "err", first.Err)
+			"count", r.cfg.unreadableCount, "entry", first.Text, "err", first.Err)
 	}
 	for e := range r.catalog.All() {
 		if !e.InService {
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("version %d after a list without end, want 1", r.listVersion)
 	}
 	a.sendLine(t, r, complete)
-	stepLoopUntil(t, r, "the complete list", func() bool { return r.listVersion == 9 })
+	stepLoopUntil(t, r, "the complete list is known", func() bool { return r.listVersion == 9 })
 	if n := endpointCount(); n != 2*destinations+1 {
 		t.Errorf("%d endpoints, want %d", n, 2*destinations+1)
 	}
@@ -113,7 +113,7 @@
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			newer := "\n" + `{"version":8,"servers":[` + discoverytest.EndpointJSON(0, 0, "draining") + "]}\n"
 			a.sendLine(t, r, append(text, newer...))
-			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
+			stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations {
 				t.Errorf("%d of %d endpoints drain, want 1", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -194,19 +194,19 @@
 		t.Errorf("the policy holds %d destinations", n)
 	}
 	a.sendLine(t, r, discoverytest.ListJSON(3, destinations, first, last))
-	stepLoopUntil(t, r, "the list once more", func() bool { return r.listVersion == 3 })
+	stepLoopUntil(t, r, "the repeated list is known", func() bool { return r.listVersion == 3 })
 	draining := discoverytest.EndpointJSON(8, 4, "draining")
 	gone := discoverytest.EndpointJSON(10, 5, "gone")
 	a.sendLine(t, r, changeText(4, draining, gone))
-	stepLoopUntil(t, r, "changes", func() bool { return r.listVersion == 4 })
+	stepLoopUntil(t, r, "the changes are applied", func() bool { return r.listVersion == 4 })
 	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations+1 {
 		t.Errorf("%d endpoints drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
 	draining = endpointText("s-last", addr, 99, "draining")
 	gone = endpointText("s-1", addr, 7, "gone")
 	a.sendLine(t, r, changeText(5, draining, gone))
-	stepLoopUntil(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
-	stepLoopUntil(t, r, "the policy has them", func() bool {
+	stepLoopUntil(t, r, "the changes of destinations in use are applied", func() bool { return r.listVersion == 5 })
+	stepLoopUntil(t, r, "the policy has received these changes", func() bool {
 		known := policyEndpoints(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -18,10 +18,10 @@
 	inFlight        int  // attempts without an outcome
 	completed       bool // the message has its result: the policy takes no more decisions on it
 
-	accepting      bool     // the message was registered in this step, which may still reject it
-	hasDuplicates  bool     // another submission shares the answer to this message, which can no longer be cancelled
-	resubmittedAs  *message // of a cancelled message that its client submitted again: the new message
-	awaitingRemote bool     // the policy gets the message once its attempts at the predecessor have outcomes
+	accepting           bool     // the message was registered in this step, which may still reject it
+	hasDuplicates       bool     // another submission shares the answer, so the message can no longer be cancelled
+	resubmittedAs       *message // of a cancelled message that its client submitted again: the new message
+	awaitingPredecessor bool     // the policy gets the message once its attempts at the predecessor have outcomes
 }
 
 // messageState is the state of all messages.
--- a/internal/relay/netconfig.go
+++ b/internal/relay/netconfig.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// reservedDescriptors is how many file descriptors are left to the journal's files and the admin address. They are
-	// taken out of the share of the connections to endpoints.
+	// reservedDescriptors is how many file descriptors are left to the journal's files and the management address. They
+	// are taken out of the share of the connections to endpoints.
 	reservedDescriptors = 16
 	// minEndpointConns is how many connections to endpoints are allowed even with a very low limit on sockets.
 	minEndpointConns = 8
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -84,7 +84,7 @@
 	r, out := newRecordedRelay(t, operatorfile.Recorder{})
 	r.DumpRecording("SIGUSR1")
 	if !bytes.Contains(out.Bytes(), []byte("recorder is off")) {
-		t.Errorf("the log does not say that the recorder is off: %s", out)
+		t.Errorf("the log does not report that the recorder is off: %s", out)
 	}
 	plain := newTestRelay(t)
 	if res := submit(t, plain, serveClients(t, plain), "m1"); res.StatusCode != http.StatusAccepted {
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if len(found.Messages) > 0 || !found.Intact() {
-		r.log.Info("recovered", "messages", len(found.Messages), "intact", found.Intact())
+		r.log.Info("state recovered from the journal", "messages", len(found.Messages), "intact", found.Intact())
 	}
 	if found.ClockStep != 0 {
 		const text = "the wall clock was set since the journal was last open; times of messages go by the boot clock"
@@ -48,7 +48,7 @@
 	r.execute(r.decide(r.now(), events), nil)
 }
 
-// recoverMessage restores the state of a message that an earlier process accepted. If the message is not completed, its
+// recoverMessage restores the state of a message that an earlier process accepted. If the message is not completed, the
 // caller passes it to the policy.
 func (r *Relay) recoverMessage(record *journal.Message) *message {
 	if record.ClassName != "" {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 	endpointsKnown   atomic.Bool                   // a list with an endpoint was applied: the relay can be ready
 	largeList        atomic.Bool                   // the list is, or was, too long for the policy to hold all of it
 	terminating      atomic.Bool                   // SIGTERM was received, or the successor has taken over
-	awaitingHandover atomic.Bool                   // the predecessor has agreed to hand over, and has not done so yet
+	awaitingHandOver atomic.Bool                   // the predecessor has agreed to hand over, and has not done so yet
 }
 
 // New returns a relay that is ready to run. It reads what an earlier process left in the journal, unless there is a
@@ -95,7 +95,7 @@
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
-		r.predecessor, err = hotrestart.Dial(r.handoverPath())
+		r.predecessor, err = hotrestart.Dial(r.handOverPath())
 		if err == nil {
 			return r, nil // the predecessor owns the journal until it hands over
 		}
@@ -132,11 +132,11 @@
 		return errors.Join(err, listener.Close(), r.closeJournal())
 	}
 	r.listenForSuccessor(work)
-	leading, stopLeading := context.WithCancel(work)
-	defer stopLeading()
-	r.stopLeading = stopLeading
+	ownerCtx, stopOwnerTasks := context.WithCancel(work)
+	defer stopOwnerTasks()
+	r.stopOwnerTasks = stopOwnerTasks
 	var background sync.WaitGroup
-	r.startBackground(leading, &background)
+	r.startBackground(ownerCtx, &background)
 	stopRecorder := r.startRecorder()
 	defer stopRecorder()
 	go r.loop(work)
@@ -174,8 +174,8 @@
 	background.Go(func() { watcher.Run(ctx) })
 }
 
-// startRecorder starts a goroutine that writes the recording continuously, if the operator's file says so. stop ends
-// the goroutine and waits for it.
+// startRecorder starts a goroutine that writes the recording continuously, if the operator's file enables that. stop
+// ends the goroutine and waits until it has ended.
 func (r *Relay) startRecorder() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -197,7 +197,7 @@
 		defer close(accepting)
 		r.ingress.Serve(listener)
 	}()
-	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
+	r.log.Info("accepting client connections", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
 	if !r.handOverToSuccessor() {
 		r.shutdown(listener)
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -32,17 +32,17 @@
 		events = r.recoverMessages([]policy.Event{snapshot})
 	}
 	r.restoreFleet(snapshot)
-	r.log.Info("taken over",
-		"messages", len(r.messages), "held", r.pending, "out", len(r.remoteAttempts), "state", restored)
+	r.log.Info("state of the predecessor taken over",
+		"messages", len(r.messages), "held", r.pending, "out", len(r.predecessorAttempts), "state", restored)
 	r.execute(r.decide(r.now(), events), nil)
 }
 
 // restorePolicy restores the policy's state. It returns false if this program cannot read the format of that state.
-// The policy then starts without it, as after a restart.
+// The policy then starts without that state, as after a restart.
 func (r *Relay) restorePolicy(s *hotrestart.State) bool {
 	engine, err := policy.Restore(s.Config.Settings, s.Snapshot)
 	if err != nil {
-		r.log.Warn("policy state has another form: continuing from the journal", "err", err)
+		r.log.Warn("cannot restore the predecessor's policy state, continuing from the journal", "err", err)
 		return false
 	}
 	r.engine = engine
@@ -61,8 +61,8 @@
 		if m.completed {
 			continue
 		}
-		m.awaitingRemote = m.inFlight > 0
-		if !m.awaitingRemote {
+		m.awaitingPredecessor = m.inFlight > 0
+		if !m.awaitingPredecessor {
 			events = append(events, r.recoveredEvent(m))
 		}
 	}
@@ -106,7 +106,7 @@
 func (r *Relay) restoreWorkingSet(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
-			r.switchToLargeList() // the predecessor's policy held all of it
+			r.switchToLargeList() // the predecessor's policy held the whole list
 		}
 		return
 	}
@@ -204,13 +204,13 @@
 // restoreAttempts restores the attempts that are in flight at the predecessor. Then it deletes the messages for which
 // nothing is left to do: see remove.
 func (r *Relay) restoreAttempts(s *hotrestart.State) {
-	r.remoteAttempts = make(map[attemptKey]*attempt, len(s.Attempts))
+	r.predecessorAttempts = make(map[attemptKey]*attempt, len(s.Attempts))
 	for _, remote := range s.Attempts {
 		m := r.messages[remote.ID]
 		if m == nil {
 			continue // no message is left that the outcome could change
 		}
-		r.remoteAttempts[attemptKey{remote.ID, remote.Number}] = &attempt{
+		r.predecessorAttempts[attemptKey{remote.ID, remote.Number}] = &attempt{
 			call:     newCall(egress.Call{EndpointID: remote.Endpoint, SentAt: remote.SentAt}, remote.Zone),
 			message:  m,
 			number:   remote.Number,
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The phases of a graceful shutdown, counted from SIGTERM. SIGKILL follows no sooner than 3.7 s after SIGTERM, and
-// clients open new connections for up to 0.4 s after it.
+// The phases of a graceful shutdown, counted from SIGTERM. SIGKILL follows no sooner than 3.7 s after SIGTERM.
+// Clients open new connections for up to 0.4 s after SIGTERM.
 const (
 	// shutdownAcceptTime is how long new connections are accepted.
 	shutdownAcceptTime = 500 * time.Millisecond
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -12,7 +12,7 @@
 	submissions     []*submitEvent
 	sendChecks      []sendCheck
 	metricsRequests []metricsRequest
-	handOff         *handOverRequest // nil: no hand-over is requested
+	handOver        *handOverRequest // nil: no hand-over is requested
 }
 
 // reset empties the state for the next step. It reuses the capacity of the slices that are no longer referenced after a
@@ -83,8 +83,8 @@
 		r.updateGauges()
 		close(request.done)
 	}
-	if s.handOff != nil {
-		s.handOff.reply <- r.transferState()
+	if s.handOver != nil {
+		s.handOver.reply <- r.transferState()
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// decide runs a step of the policy and of the fleet's member, if there is one, and records it.
+// decide runs a step of the policy and of the fleet's member, if there is one, and records the step.
 func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
 	if r.largeList.Load() {
 		events = r.updateWorkingSet(now, events)
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -87,7 +87,7 @@
 		t.Errorf("status %d", response.StatusCode)
 	}
 	nettest.Send(conn, requestText("b"))
-	stepUntil(t, r, "accepted", func() bool { return r.messagesByTrace["b"] != nil })
+	stepUntil(t, r, "message b is accepted", func() bool { return r.messagesByTrace["b"] != nil })
 	if response := nettest.ReadResponse(t, responses); response.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", response.StatusCode)
 	}
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -23,18 +23,18 @@
 	number    int
 }
 
-// remoteOutcome is the outcome of an attempt that the predecessor made.
-type remoteOutcome hotrestart.Outcome
+// predecessorOutcome is the outcome of an attempt that the predecessor made.
+type predecessorOutcome hotrestart.Outcome
 
 // predecessorGone reports that the predecessor sends nothing more.
 type predecessorGone struct{}
 
-func (e remoteOutcome) apply(r *Relay, s *stepState) {
-	s.policyEvents = r.remoteAttemptFinished(s.policyEvents, e)
+func (e predecessorOutcome) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.predecessorAttemptFinished(s.policyEvents, e)
 }
 
 func (predecessorGone) apply(r *Relay, s *stepState) {
-	s.policyEvents = r.abandonRemoteAttempts(s.policyEvents)
+	s.policyEvents = r.abandonPredecessorAttempts(s.policyEvents)
 }
 
 // takeOver waits until the predecessor hands over or ends. If it ends without handing over, this process recovers the
@@ -42,11 +42,11 @@
 func (r *Relay) takeOver(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, r.closePredecessor)
 	defer stop()
-	state, err := r.predecessor.RequestState(policy.Revision(), r.awaitingHandover.Store)
+	state, err := r.predecessor.RequestState(policy.Revision(), r.awaitingHandOver.Store)
 	if ctx.Err() != nil {
 		return errTerminated
 	}
-	r.log.Info("taking over", "state", state != nil, "err", err)
+	r.log.Info("predecessor has handed over or ended", "state", state != nil, "err", err)
 	if err := r.openJournal(); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 		}
 		switch {
 		case f.Outcome != nil:
-			r.post(remoteOutcome(*f.Outcome))
+			r.post(predecessorOutcome(*f.Outcome))
 		case f.Cancel != 0:
 			r.post(cancelEvent{f.Cancel})
 		case f.Submission != nil && f.Submission.Message != nil:
@@ -113,10 +113,10 @@
 	return true
 }
 
-// remoteAttemptFinished handles the outcome of an attempt that the predecessor made.
-func (r *Relay) remoteAttemptFinished(events []policy.Event, o remoteOutcome) []policy.Event {
+// predecessorAttemptFinished handles the outcome of an attempt that the predecessor made.
+func (r *Relay) predecessorAttemptFinished(events []policy.Event, o predecessorOutcome) []policy.Event {
 	key := attemptKey{o.ID, o.Number}
-	a := r.remoteAttempts[key]
+	a := r.predecessorAttempts[key]
 	if a == nil {
 		return events
 	}
@@ -128,20 +128,20 @@
 		Latency:      o.Latency,
 	})
 	if o.CallFinished {
-		delete(r.remoteAttempts, key)
+		delete(r.predecessorAttempts, key)
 	}
 	return events
 }
 
-// abandonRemoteAttempts ends the attempts whose outcomes the predecessor did not send, with the outcome Cancelled:
+// abandonPredecessorAttempts ends the attempts whose outcomes the predecessor did not send, with the outcome Cancelled:
 // their messages may have run.
-func (r *Relay) abandonRemoteAttempts(events []policy.Event) []policy.Event {
-	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), compareAttempts) {
-		a := r.remoteAttempts[key]
+func (r *Relay) abandonPredecessorAttempts(events []policy.Event) []policy.Event {
+	for _, key := range slices.SortedFunc(maps.Keys(r.predecessorAttempts), compareAttempts) {
+		a := r.predecessorAttempts[key]
 		cancelled := egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)}
 		events = r.attemptEnded(events, a, cancelled)
 	}
-	clear(r.remoteAttempts)
+	clear(r.predecessorAttempts)
 	return events
 }
 
@@ -150,9 +150,10 @@
 	return cmp.Or(cmp.Compare(a.messageID, b.messageID), cmp.Compare(a.number, b.number))
 }
 
-// resumeAfterRemoteAttempt handles the result of an attempt whose message is unknown to the policy. It passes the
-// outcome to the policy as a health check of the endpoint, and the message once it has no other attempt in flight.
-func (r *Relay) resumeAfterRemoteAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
+// resumeAfterPredecessorAttempt handles the result of an attempt whose message is unknown to the policy. It
+// passes the outcome to the policy as a health check of the endpoint. It passes the message, too, if no other attempt
+// of the message is in flight.
+func (r *Relay) resumeAfterPredecessorAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	events = append(events, policy.Event{
 		Kind:        policy.HealthChecked,
 		Endpoint:    a.call.EndpointID,
@@ -165,6 +166,6 @@
 	if m.completed || m.inFlight > 0 {
 		return events
 	}
-	m.awaitingRemote = false
+	m.awaitingPredecessor = false
 	return append(events, r.recoveredEvent(m))
 }
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -34,8 +34,8 @@
 }
 
 // outcomeOf returns the outcome of a message's first attempt, whose call has ended.
-func outcomeOf(outcome policy.Outcome, messageID policy.MessageID, retryAfter time.Duration) remoteOutcome {
-	return remoteOutcome{
+func outcomeOf(outcome policy.Outcome, messageID policy.MessageID, retryAfter time.Duration) predecessorOutcome {
+	return predecessorOutcome{
 		ID:           messageID,
 		Outcome:      outcome,
 		RetryAfter:   retryAfter,
@@ -100,9 +100,9 @@
 		ids = append(ids, submission.message.ID)
 	}
 	r := successorOf(t, old, edit)
-	if len(r.remoteAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
+	if len(r.predecessorAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
 		t.Fatalf("%d attempts at the predecessor, %d pending, %d calls; want 3, 3, 0",
-			len(r.remoteAttempts), r.pending, len(r.activeCalls))
+			len(r.predecessorAttempts), r.pending, len(r.activeCalls))
 	}
 	return r, ids
 }
@@ -111,8 +111,8 @@
 // attempt of the rejected message does not.
 func checkAbandoned(t *testing.T, r *Relay, rejected, abandoned policy.MessageID) {
 	t.Helper()
-	if len(r.remoteAttempts) != 0 || len(r.messages[rejected].UncertainAttempts) != 0 {
-		t.Errorf("%d attempts at the predecessor; rejected: %+v", len(r.remoteAttempts), r.messages[rejected])
+	if len(r.predecessorAttempts) != 0 || len(r.messages[rejected].UncertainAttempts) != 0 {
+		t.Errorf("%d attempts at the predecessor; rejected: %+v", len(r.predecessorAttempts), r.messages[rejected])
 	}
 	m := r.messages[abandoned]
 	if m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 {
@@ -145,13 +145,13 @@
 	if f, err := predecessor.Receive(); err != nil || f.Hello == nil {
 		t.Fatalf("received %+v, %v; want Hello", f, err)
 	}
-	if r.awaitingHandover.Load() {
+	if r.awaitingHandOver.Load() {
 		t.Error("ready before the predecessor has sent Welcome")
 	}
 	if err := predecessor.Send(hotrestart.Frame{Welcome: true}); err != nil {
 		t.Fatal(err)
 	}
-	for !r.awaitingHandover.Load() { // if that never happens, the time limit of the tests ends this
+	for !r.awaitingHandOver.Load() { // if that never happens, the time limit of the tests ends this
 		runtime.Gosched()
 	}
 	cancel()
--- a/internal/relay/warnings_test.go
+++ b/internal/relay/warnings_test.go
@@ -43,8 +43,8 @@
 	return strings.Count(b.String(), s)
 }
 
-// Bad input of one kind comes again and again. It is logged only once, since the occurrences are too close together
-// for another line, and good messages are still accepted.
+// Bad input of one kind that repeats within ratelog's minimum interval is logged only once. Good messages are still
+// accepted.
 func TestBadInputIsLoggedOnce(t *testing.T) {
 	const times = 20
 	for _, c := range []struct {
--- a/internal/relay/workingset_test.go
+++ b/internal/relay/workingset_test.go
@@ -192,7 +192,7 @@
 }
 
 // Applying the same complete list again gives the policy no updates. A list with a change inside the working set
-// gives it that update alone.
+// gives the policy only the update for that change.
 func TestUnchangedListGivesNoUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	entries := entriesOf(
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -9,9 +9,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/statecodec"
 )
 
-// snapshotForm is the version of the snapshot format. Increment it with every change of the code* methods below,
+// snapshotVersion is the version of the snapshot format. Increment it with every change of the code* methods below,
 // each of which defines the format for both writing and reading. Snapshots of other versions are rejected.
-const snapshotForm = 7
+const snapshotVersion = 7
 
 // Snapshot appends the state of an Engine between two steps to buf. Equal states give equal bytes. A recording that
 // begins in the middle of a run starts with a snapshot.
@@ -47,9 +47,9 @@
 // codeState writes or reads the whole state, depending on the direction of the coder. The order of the fields, here
 // and in the methods below, is part of the format.
 func (e *Engine) codeState(coder *statecodec.Coder) {
-	version := snapshotForm
+	version := snapshotVersion
 	coder.Ints(&version)
-	if version != snapshotForm {
+	if version != snapshotVersion {
 		coder.Fail()
 		return
 	}
