--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -62,7 +62,7 @@
 	return messages
 }
 
-// Every kind of message is encoded to the bytes that earlier builds wrote, and these are decoded to the same message.
+// Every kind of message is encoded to the bytes that earlier builds wrote, and is decoded from them unchanged.
 func TestGoldenMessages(t *testing.T) {
 	c := newCodec(t)
 	for name, want := range goldenMessages() {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -41,8 +41,8 @@
 	version     int64
 }
 
-// The position of the endpoint list in a file and the order of its keys do not affect what is read, and the shape is
-// the same as that of a file that is decoded as a whole.
+// The position of the endpoint list in a file and the order of its keys do not affect the result. The shape of the file
+// is the same as when the file is decoded as a whole.
 func TestConfigIsParsedAsAStream(t *testing.T) {
 	const one = `{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	const settings = `"settings":` + settingsJSON
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -27,7 +27,7 @@
 		final      *policy.Action // the action that then ends the message; nil: none
 		status     int
 		isNew      bool
-		clientLeft bool // while the call was in flight
+		clientLeft bool // whether the client left while the call was in flight
 	}{
 		{"delivered", delivered, nil, http.StatusAccepted, false, false},
 		{"delivered after its client left", delivered, nil, http.StatusAccepted, false, true},
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -133,7 +133,7 @@
 	pending map[uint64]*submitEvent // by sequence number
 }
 
-// forward sends a submission to the successor. The number of pending submissions is bounded by that of client
+// forward sends a submission to the successor. The number of pending submissions is bounded by the number of client
 // connections.
 func (f *forwardedSubmissions) forward(successor *hotrestart.Conn, submitted *submitEvent) {
 	if successor == nil {
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -203,9 +203,9 @@
 	return !c.dropped
 }
 
-// endsAfterResponse reports whether connections are closed after their next response. The clients together can open
-// only a limited number of connections, too. If the server kept many open, clients that send one request and stay
-// connected would keep others from connecting long before the server reaches its own limit.
+// endsAfterResponse reports whether connections are closed after their next response. The number of connections that
+// all clients together can open is limited, too. If the server kept many connections open, clients that send one
+// request and stay connected would prevent other clients from connecting long before the server reaches its own limit.
 func (s *Server) endsAfterResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -17,9 +17,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A long list that breaks off in the middle of an entry must not count as complete. Its entries up to there apply,
-// but no endpoint is removed because the list has not named it yet, the version of the list is not adopted, and the
-// watch starts again from the old version. A list that stalls or never ends is abandoned.
+// A long list that breaks off in the middle of an entry must not count as complete. The entries before
+// the break apply. No endpoint is removed because the list has not named it yet, the version of the list is not
+// adopted, and the watch starts again from the old version. A list that stalls or never ends is abandoned.
 func TestLongListThatBreaksOff(t *testing.T) {
 	const destinations = 4000
 	r, a := newTestRelay(t), newListAgent(t)
@@ -51,7 +51,7 @@
 	}
 	expectWatch("the start", "1")
 	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
-	expectWatch("an end in an entry", "1")
+	expectWatch("a list that breaks off", "1")
 	if n := endpointCount(); n < 1000 || n > 2*destinations || r.listVersion != 1 {
 		t.Errorf("%d endpoints, want 1000 to %d; version %d, want 1", n, 2*destinations, r.listVersion)
 	}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -26,7 +26,7 @@
 type listAgent struct {
 	*httptest.Server
 	indexes          chan string    // the version from which each watch was requested
-	texts            chan []byte    // to write to the watch
+	texts            chan []byte    // texts to write to the watch
 	written          chan time.Time // when each text was written
 	snapshotRequests atomic.Int32
 
@@ -169,7 +169,7 @@
 	})
 }
 
-// respondOK serves an endpoint that answers every request with 200.
+// respondOK answers a request to an endpoint with 200.
 func respondOK(_ int, conn net.Conn, _ *http.Request) bool {
 	_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return true
@@ -295,8 +295,8 @@
 	t.Logf("%d activated and delivered in %v", destinations, time.Since(began))
 }
 
-// The drain of an endpoint follows longList other entries, and arrives while messages are submitted. Nothing more
-// is sent to the endpoint after the grace period.
+// The drain of an endpoint follows longList other entries, and arrives while messages are submitted. No more
+// messages are sent to the endpoint after the grace period.
 func TestDrainAfterLongListTakesEffectInTime(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -20,7 +20,7 @@
 func TestDamagedJournalRepeatsNothing(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveClients(t, r)
-	for i := range 200 { // they fill several blocks of the store: damage in the last one looks like a torn write
+	for i := range 200 { // fill several blocks of the store: damage in the last block would look like a torn write
 		submit(t, r, addr, fmt.Sprint("m", 100+i))
 	}
 	if err := r.journal.Close(); err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -38,7 +38,7 @@
 
 	ingress  *ingress.Server   // serves clients
 	egress   *egress.Client    // calls endpoints
-	agent    *discovery.Client // requests to service discovery's agent
+	agent    *discovery.Client // sends requests to service discovery's agent
 	notifier *notify.Sender    // sends final notifications
 	fleet    *fleet.Member     // nil: this relay is not part of a fleet
 	metrics  metrics.Registry
@@ -143,13 +143,13 @@
 
 	r.serveUntil(ctx, listener)
 	stopCalls()
-	r.calls.Wait() // the loop records their outcomes in the journal
+	r.calls.Wait() // the loop records the outcomes of these calls in the journal
 	stop()
 	<-r.loopDone
 	background.Wait()
 	r.egress.Close()
 	if r.successor != nil {
-		_ = r.successor.Close() // everything for the successor is sent
+		_ = r.successor.Close() // nothing more is sent to the successor
 	}
 	return r.closeJournal()
 }
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -17,7 +17,7 @@
 // errTerminated reports that this process was terminated before it took over.
 var errTerminated = errors.New("relay: process terminated before it took over from its predecessor")
 
-// attemptKey identifies an attempt. It is the same in the predecessor and in this process.
+// attemptKey identifies an attempt. An attempt has the same key in the predecessor and in this process.
 type attemptKey struct {
 	messageID policy.MessageID
 	number    int
@@ -151,8 +151,8 @@
 }
 
 // resumeAfterPredecessorAttempt handles the result of an attempt whose message is unknown to the policy. It
-// passes the outcome to the policy as a health check of the endpoint. It passes the message, too, if no other attempt
-// of the message is in flight.
+// passes the outcome to the policy as a health check of the endpoint. It also passes the message to the policy if the
+// message is not completed and no other attempt of it is in flight.
 func (r *Relay) resumeAfterPredecessorAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	events = append(events, policy.Event{
 		Kind:        policy.HealthChecked,
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -151,7 +151,7 @@
 	if err := predecessor.Send(hotrestart.Frame{Welcome: true}); err != nil {
 		t.Fatal(err)
 	}
-	for !r.awaitingHandOver.Load() { // if that never happens, the time limit of the tests ends this
+	for !r.awaitingHandOver.Load() { // otherwise the time limit of go test fails the test
 		runtime.Gosched()
 	}
 	cancel()
--- a/internal/relay/workingset_test.go
+++ b/internal/relay/workingset_test.go
@@ -50,7 +50,7 @@
 }
 
 // workingSetEndpoints returns the endpoints that the policy must hold, in the same form as policyEndpoints: all
-// that the catalog has of the working set's destinations.
+// endpoints that the catalog has for the working set's destinations.
 func workingSetEndpoints(r *Relay) map[policy.DestinationID][]policy.Endpoint {
 	known := map[policy.DestinationID][]policy.Endpoint{}
 	for e := range r.catalog.All() {
