--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "update the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func goldenQuota() quota.Message {
 	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
@@ -62,7 +62,7 @@
 	return messages
 }
 
-// Every kind of message is encoded to the bytes that earlier builds wrote, and these are decoded to the same message.
+// Every kind of message is encoded to the bytes that earlier builds wrote, and is decoded from them unchanged.
 func TestGoldenMessages(t *testing.T) {
 	c := newCodec(t)
 	for name, want := range goldenMessages() {
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -17,9 +17,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A long list that breaks off in the middle of an entry must not count as complete. Its entries up to there apply,
-// but no endpoint is removed because the list has not named it yet, the version of the list is not adopted, and the
-// watch starts again from the old version. A list that stalls or never ends is abandoned.
+// A long list that breaks off in the middle of an entry must not count as complete. The entries before
+// the break apply. No endpoint is removed because the list has not named it yet, the version of the list is not
+// adopted, and the watch starts again from the old version. A list that stalls or never ends is abandoned.
 func TestLongListThatBreaksOff(t *testing.T) {
 	const destinations = 4000
 	r, a := newTestRelay(t), newListAgent(t)
@@ -51,7 +51,7 @@
 	}
 	expectWatch("the start", "1")
 	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
-	expectWatch("an end in an entry", "1")
+	expectWatch("a list that breaks off", "1")
 	if n := endpointCount(); n < 1000 || n > 2*destinations || r.listVersion != 1 {
 		t.Errorf("%d endpoints, want 1000 to %d; version %d, want 1", n, 2*destinations, r.listVersion)
 	}
@@ -65,7 +65,7 @@
 		t.Errorf("version %d after a list without end, want 1", r.listVersion)
 	}
 	a.sendLine(t, r, complete)
-	stepLoopUntil(t, r, "the complete list", func() bool { return r.listVersion == 9 })
+	stepLoopUntil(t, r, "the complete list is known", func() bool { return r.listVersion == 9 })
 	if n := endpointCount(); n != 2*destinations+1 {
 		t.Errorf("%d endpoints, want %d", n, 2*destinations+1)
 	}
@@ -113,7 +113,7 @@
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			newer := "\n" + `{"version":8,"servers":[` + discoverytest.EndpointJSON(0, 0, "draining") + "]}\n"
 			a.sendLine(t, r, append(text, newer...))
-			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
+			stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations {
 				t.Errorf("%d of %d endpoints drain, want 1", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -26,7 +26,7 @@
 type listAgent struct {
 	*httptest.Server
 	indexes          chan string    // the version from which each watch was requested
-	texts            chan []byte    // to write to the watch
+	texts            chan []byte    // texts to write to the watch
 	written          chan time.Time // when each text was written
 	snapshotRequests atomic.Int32
 
@@ -169,7 +169,7 @@
 	})
 }
 
-// respondOK serves an endpoint that answers every request with 200.
+// respondOK answers a request to an endpoint with 200.
 func respondOK(_ int, conn net.Conn, _ *http.Request) bool {
 	_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return true
@@ -194,19 +194,19 @@
 		t.Errorf("the policy holds %d destinations", n)
 	}
 	a.sendLine(t, r, discoverytest.ListJSON(3, destinations, first, last))
-	stepLoopUntil(t, r, "the list once more", func() bool { return r.listVersion == 3 })
+	stepLoopUntil(t, r, "the repeated list is known", func() bool { return r.listVersion == 3 })
 	draining := discoverytest.EndpointJSON(8, 4, "draining")
 	gone := discoverytest.EndpointJSON(10, 5, "gone")
 	a.sendLine(t, r, changeText(4, draining, gone))
-	stepLoopUntil(t, r, "changes", func() bool { return r.listVersion == 4 })
+	stepLoopUntil(t, r, "the changes are applied", func() bool { return r.listVersion == 4 })
 	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations+1 {
 		t.Errorf("%d endpoints drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
 	draining = endpointText("s-last", addr, 99, "draining")
 	gone = endpointText("s-1", addr, 7, "gone")
 	a.sendLine(t, r, changeText(5, draining, gone))
-	stepLoopUntil(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
-	stepLoopUntil(t, r, "the policy has them", func() bool {
+	stepLoopUntil(t, r, "the changes of destinations in use are applied", func() bool { return r.listVersion == 5 })
+	stepLoopUntil(t, r, "the policy has received these changes", func() bool {
 		known := policyEndpoints(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
@@ -295,8 +295,8 @@
 	t.Logf("%d activated and delivered in %v", destinations, time.Since(began))
 }
 
-// The drain of an endpoint follows longList other entries, and arrives while messages are submitted. Nothing more
-// is sent to the endpoint after the grace period.
+// The drain of an endpoint follows longList other entries, and arrives while messages are submitted. No more
+// messages are sent to the endpoint after the grace period.
 func TestDrainAfterLongListTakesEffectInTime(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
--- a/internal/relay/workingset_test.go
+++ b/internal/relay/workingset_test.go
@@ -50,7 +50,7 @@
 }
 
 // workingSetEndpoints returns the endpoints that the policy must hold, in the same form as policyEndpoints: all
-// that the catalog has of the working set's destinations.
+// endpoints that the catalog has for the working set's destinations.
 func workingSetEndpoints(r *Relay) map[policy.DestinationID][]policy.Endpoint {
 	known := map[policy.DestinationID][]policy.Endpoint{}
 	for e := range r.catalog.All() {
@@ -192,7 +192,7 @@
 }
 
 // Applying the same complete list again gives the policy no updates. A list with a change inside the working set
-// gives it that update alone.
+// gives the policy only the update for that change.
 func TestUnchangedListGivesNoUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	entries := entriesOf(
